--- a/gateway/src/main/java/org/hornbeamhead/gateway/RouterProcess.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/RouterProcess.java
@@ -23,10 +23,10 @@
 import org.hornbeamhead.daemon.HttpAnswers;
 import org.hornbeamhead.daemon.Logs;
 import org.hornbeamhead.daemon.Metrics;
-import org.hornbeamhead.gateway.caller.CallerAnswer;
-import org.hornbeamhead.gateway.caller.CallerFront;
+import org.hornbeamhead.gateway.caller.CallerResponse;
+import org.hornbeamhead.gateway.caller.CallerServer;
 import org.hornbeamhead.gateway.dispatch.Dispatcher;
-import org.hornbeamhead.gateway.dispatch.WireDialect;
+import org.hornbeamhead.gateway.dispatch.HeaderCodec;
 import org.hornbeamhead.gateway.duty.Duties;
 import org.hornbeamhead.gateway.duty.ReplicaOrders;
 import org.hornbeamhead.gateway.duty.SteerNotice;
@@ -74,7 +74,7 @@
     private final Quarantine quarantine;
     private final Dispatcher dispatcher;
     private final WorkHints hints;
-    private final CallerFront front;
+    private final CallerServer front;
     private final Shutdown shutdown;
 
     /**
@@ -85,7 +85,7 @@
      * @param dialect the header lines of callers and replicas
      * @param orders orders to replicas
      */
-    public record Ports(PlatformStore store, PlatformDocuments documents, WireDialect dialect, ReplicaOrders orders) {}
+    public record Ports(PlatformStore store, PlatformDocuments documents, HeaderCodec dialect, ReplicaOrders orders) {}
 
     /**
      * Puts a router together.
@@ -131,7 +131,7 @@
                 state);
         datagrams = new PeerDatagrams(reactor);
         quarantine = new Quarantine(quarantineParts(ports, random));
-        dispatcher = new Dispatcher(new Dispatcher.Parts(
+        dispatcher = new Dispatcher(new Dispatcher.Dependencies(
                 reactor,
                 clock,
                 ports.dialect(),
@@ -145,15 +145,16 @@
                 settings.budget(),
                 working,
                 quarantine));
-        hints = new WorkHints(reactor, clock, registry, routers::hintAddresses, working, datagrams, dispatcher::hinted);
-        dispatcher.tell(hints);
-        front = new CallerFront(reactor, this::handle, this::limits, metrics);
+        hints = new WorkHints(
+                reactor, clock, registry, routers::hintAddresses, working, datagrams, dispatcher::recordPeerSend);
+        dispatcher.setWorkHints(hints);
+        front = new CallerServer(reactor, this::handle, this::limits, metrics);
         shutdown = new Shutdown(daemon, front, presence, duties, settings.grace());
         mirror.listen(this::changed);
     }
 
-    private Quarantine.Parts quarantineParts(Ports ports, Random random) {
-        return new Quarantine.Parts(
+    private Quarantine.Dependencies quarantineParts(Ports ports, Random random) {
+        return new Quarantine.Dependencies(
                 clock,
                 daemon.timers(),
                 random,
@@ -170,9 +171,9 @@
         view.introduceAgain();
     }
 
-    private void handle(WholeRequest request, CallerAnswer answer) {
+    private void handle(WholeRequest request, CallerResponse answer) {
         if (shutdown.givesBack()) {
-            dispatcher.giveBack(request, answer, "the router is about to end");
+            dispatcher.rejectForOtherRouter(request, answer, "the router is about to end");
         } else {
             dispatcher.handle(request, answer);
         }
@@ -206,7 +207,7 @@
             daemon.listen(settings.metrics(), request -> metrics.scrape());
         }
         metrics.gauge("hornbeam_requests_in_flight", front::inFlight);
-        metrics.gauge("hornbeam_caller_connections", front::connections);
+        metrics.gauge("hornbeam_caller_connections", front::connectionCount);
         metrics.gauge("hornbeam_replicas", () -> registry.all().size());
         metrics.gauge("hornbeam_store_away", () -> view.away() ? 1 : 0);
         metrics.gauge("hornbeam_reads_store", () -> view.readsStore() ? 1 : 0);
@@ -256,7 +257,7 @@
             return true;
         }
         if (item.key().equals(CrashArchive.KEY)) {
-            quarantine.read(item);
+            quarantine.readArchive(item);
             return true;
         }
         switch (documents.kind(item.key())) {
@@ -280,7 +281,7 @@
         boolean first = state.config().isEmpty();
         state.accept(config, revision);
         if (first) {
-            dispatcher.configured();
+            dispatcher.configurationLoaded();
         }
     }
 
--- a/gateway/src/main/java/org/hornbeamhead/gateway/RouterSettings.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/RouterSettings.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import java.util.List;
-import org.hornbeamhead.gateway.dispatch.Dispatcher.BudgetLimits;
+import org.hornbeamhead.gateway.dispatch.Dispatcher.RetryBudgetLimits;
 import org.hornbeamhead.gateway.state.RouterEntry;
 
 /**
@@ -30,7 +30,7 @@
         InetSocketAddress metrics,
         List<String> seeds,
         boolean firstStart,
-        BudgetLimits budget,
+        RetryBudgetLimits budget,
         Duration grace,
         Duration holderPause,
         Duration weightsBound,
--- a/gateway/src/main/java/org/hornbeamhead/gateway/Shutdown.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/Shutdown.java
@@ -4,7 +4,7 @@
 import java.time.Duration;
 import org.hornbeamhead.daemon.Daemon;
 import org.hornbeamhead.daemon.Logs;
-import org.hornbeamhead.gateway.caller.CallerFront;
+import org.hornbeamhead.gateway.caller.CallerServer;
 import org.hornbeamhead.gateway.duty.Duties;
 import org.hornbeamhead.gateway.state.RouterPresence;
 
@@ -36,13 +36,13 @@
     private static final long CHECK_MILLIS = 50;
 
     private final Daemon daemon;
-    private final CallerFront front;
+    private final CallerServer front;
     private final RouterPresence presence;
     private final Duties duties;
     private final long graceMillis;
     private long begunAt = -1;
 
-    Shutdown(Daemon daemon, CallerFront front, RouterPresence presence, Duties duties, Duration grace) {
+    Shutdown(Daemon daemon, CallerServer front, RouterPresence presence, Duties duties, Duration grace) {
         this.daemon = daemon;
         this.front = front;
         this.presence = presence;
--- a/gateway/src/main/java/org/hornbeamhead/gateway/caller/CallerConnection.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/caller/CallerConnection.java
@@ -15,40 +15,42 @@
 import org.hornbeamhead.core.route.CallerLimits;
 
 /**
- * One connection of a caller: reads its requests one after the other, and sees at once when the caller leaves.
+ * One connection of a caller. Reads its requests one after the other and notices immediately when the caller
+ * disconnects.
  *
- * <p>A read is always pending, also while an answer is under way, since only a read shows that the other end has
- * closed. Bytes of a next request that come meanwhile are kept, up to a limit.
+ * <p>A read is always pending, even while a response is written, since only a read shows that the peer has closed the
+ * connection. Bytes of the next request that arrive meanwhile are buffered, up to a limit.
  */
 final class CallerConnection {
-    /** What a caller may send ahead while its answer is under way; more stays in the socket. */
-    private static final int MAX_AHEAD_BYTES = 65_536;
+    /** The number of bytes that a caller may pipeline while its response is written; the rest stays in the socket. */
+    private static final int MAX_PIPELINED_BYTES = 65_536;
 
     private static final int REQUEST_TIMEOUT = 408;
-    private static final byte[] CONTINUE = "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
+    private static final byte[] CONTINUE_RESPONSE =
+            "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
 
     private final NioReactor reactor;
     private final ITcpSocket socket;
-    private final CallerFront front;
+    private final CallerServer server;
     private final RequestReader reader;
     private final CallerLimits limits;
     private ScheduledRunnable timer;
-    private byte[] ahead = new byte[0];
-    private AnswerWriter answer;
-    private boolean continued;
+    private byte[] pipelined = new byte[0];
+    private ResponseWriter response;
+    private boolean continueSent;
     private boolean closed;
     private boolean readPaused;
 
-    CallerConnection(NioReactor reactor, ITcpSocket socket, CallerFront front, CallerLimits limits) {
+    CallerConnection(NioReactor reactor, ITcpSocket socket, CallerServer server, CallerLimits limits) {
         this.reactor = reactor;
         this.socket = socket;
-        this.front = front;
+        this.server = server;
         this.limits = limits;
         this.reader = new RequestReader(limits.headerBytes(), limits.bodyBytes());
     }
 
     void start() {
-        waitIdle();
+        startIdleTimer();
         read();
     }
 
@@ -57,7 +59,7 @@
             if (closed) {
                 recycle(buf);
             } else if (e != null || buf == null) {
-                gone();
+                disconnected();
             } else {
                 received(buf.asArray());
             }
@@ -71,8 +73,8 @@
     }
 
     private void received(byte[] bytes) {
-        if (answer != null) {
-            keepAhead(bytes);
+        if (response != null) {
+            bufferPipelined(bytes);
         } else {
             parse(bytes);
         }
@@ -81,60 +83,61 @@
         }
     }
 
-    private void keepAhead(byte[] bytes) {
-        byte[] joined = Arrays.copyOf(ahead, ahead.length + bytes.length);
-        System.arraycopy(bytes, 0, joined, ahead.length, bytes.length);
-        ahead = joined;
-        readPaused = ahead.length > MAX_AHEAD_BYTES;
+    private void bufferPipelined(byte[] bytes) {
+        byte[] combined = Arrays.copyOf(pipelined, pipelined.length + bytes.length);
+        System.arraycopy(bytes, 0, combined, pipelined.length, bytes.length);
+        pipelined = combined;
+        readPaused = pipelined.length > MAX_PIPELINED_BYTES;
     }
 
     private void parse(byte[] bytes) {
-        Bytes in = Bytes.of(bytes);
-        boolean began = !reader.insideRequest();
-        Optional<WholeRequest> whole;
+        Bytes input = Bytes.of(bytes);
+        boolean startsRequest = !reader.insideRequest();
+        Optional<WholeRequest> request;
         try {
-            whole = reader.feed(in);
+            request = reader.feed(input);
         } catch (BadMessageException e) {
-            refuse(e.status(), e.getMessage());
+            reject(e.status(), e.getMessage());
             return;
         }
-        if (whole.isPresent()) {
-            ahead = in.take(in.remaining());
-            handle(whole.get());
+        if (request.isPresent()) {
+            pipelined = input.take(input.remaining());
+            handle(request.get());
             return;
         }
-        if (began && reader.insideRequest()) {
-            arm(limits.headerTimeoutMillis(), () -> refuse(REQUEST_TIMEOUT, "the request took too long to arrive"));
+        if (startsRequest && reader.insideRequest()) {
+            startTimer(
+                    limits.headerTimeoutMillis(), () -> reject(REQUEST_TIMEOUT, "the request took too long to arrive"));
         }
-        if (reader.awaitsContinue() && !continued) {
-            continued = true;
-            socket.write(ByteBuf.wrapForReading(CONTINUE));
+        if (reader.awaitsContinue() && !continueSent) {
+            continueSent = true;
+            socket.write(ByteBuf.wrapForReading(CONTINUE_RESPONSE));
         }
     }
 
     private void handle(WholeRequest request) {
-        disarm();
-        continued = false;
-        boolean asked = request.head().keepAlive();
-        answer = new AnswerWriter(
+        cancelTimer();
+        continueSent = false;
+        boolean keepAlive = request.head().keepAlive();
+        response = new ResponseWriter(
                 socket,
-                () -> asked && !front.draining(),
+                () -> keepAlive && !server.draining(),
                 request.head().method().equals("HEAD"),
-                this::answered);
-        front.began();
-        front.handler().handle(request, answer);
+                this::responseCompleted);
+        server.requestStarted();
+        server.handler().handle(request, response);
     }
 
     /**
-     * The answer is complete, or was broken off.
+     * Handles the end of a response, complete or aborted.
      *
-     * <p>Failure: a stream began before the router was told to stop, so that its head could not announce the end of the
-     * connection. Symptom: the caller's next request on it meets a closed connection. It is served once more, and that
-     * answer announces the end.
+     * <p>If a stream began before the router was told to stop, its head could not announce that the connection will be
+     * closed, and the next request of the caller would meet a closed connection. The connection therefore serves one
+     * more request, and that response announces the close.
      */
-    private void answered(boolean reusable) {
-        answer = null;
-        front.ended();
+    private void responseCompleted(boolean reusable) {
+        response = null;
+        server.requestEnded();
         if (closed) {
             return;
         }
@@ -142,71 +145,71 @@
             finish();
             return;
         }
-        waitIdle();
-        byte[] next = ahead;
-        ahead = new byte[0];
-        if (next.length > 0) {
-            // A new turn of the reactor, so that a caller that sends many requests ahead cannot grow the stack.
-            reactor.post(() -> parseNext(next));
+        startIdleTimer();
+        byte[] nextBytes = pipelined;
+        pipelined = new byte[0];
+        if (nextBytes.length > 0) {
+            // Parsed in a new reactor turn, so that a caller that pipelines many requests cannot overflow the stack.
+            reactor.post(() -> parseNext(nextBytes));
         } else {
-            resume();
+            resumeReading();
         }
     }
 
     private void parseNext(byte[] bytes) {
         if (!closed) {
             parse(bytes);
-            resume();
+            resumeReading();
         }
     }
 
-    private void resume() {
+    private void resumeReading() {
         if (readPaused && !closed) {
             readPaused = false;
             read();
         }
     }
 
-    private void refuse(int status, String why) {
+    private void reject(int status, String reason) {
         closed = true;
-        disarm();
-        front.refusedUnread(status, why);
-        byte[] body = (why + "\n").getBytes(StandardCharsets.UTF_8);
+        cancelTimer();
+        server.recordRejection(status, reason);
+        byte[] body = (reason + "\n").getBytes(StandardCharsets.UTF_8);
         Headers headers = Headers.NONE.with("Content-Type", "text/plain");
-        socket.write(ByteBuf.wrapForReading(AnswerWriter.whole(status, headers, body, false)))
+        socket.write(ByteBuf.wrapForReading(ResponseWriter.encode(status, headers, body, false)))
                 .subscribe((v, e) -> finish());
     }
 
-    /** Ends the connection in order: what was written still reaches the caller. */
+    /** Closes the connection gracefully: data already written still reaches the caller. */
     private void finish() {
         closed = true;
-        disarm();
-        front.closed(this);
-        socket.write(null).subscribe((v, e) -> reactor.delayBackground(CallerFront.LINGER_MILLIS, socket::close));
+        cancelTimer();
+        server.connectionClosed(this);
+        socket.write(null).subscribe((v, e) -> reactor.delayBackground(CallerServer.LINGER_MILLIS, socket::close));
     }
 
-    private void gone() {
+    private void disconnected() {
         closed = true;
-        disarm();
-        front.closed(this);
+        cancelTimer();
+        server.connectionClosed(this);
         socket.close();
-        if (answer != null) {
-            answer.callerGone();
+        if (response != null) {
+            response.callerDisconnected();
         }
     }
 
     void closeIdle() {
-        if (!closed && answer == null && !reader.insideRequest()) {
+        if (!closed && response == null && !reader.insideRequest()) {
             finish();
         }
     }
 
-    private void waitIdle() {
-        arm(limits.idleTimeoutMillis(), this::closeIdle);
+    private void startIdleTimer() {
+        startTimer(limits.idleTimeoutMillis(), this::closeIdle);
     }
 
-    private void arm(long millis, Runnable action) {
-        disarm();
+    private void startTimer(long millis, Runnable action) {
+        cancelTimer();
         timer = reactor.delayBackground(millis, () -> {
             if (!closed) {
                 action.run();
@@ -214,7 +217,7 @@
         });
     }
 
-    private void disarm() {
+    private void cancelTimer() {
         if (timer != null) {
             timer.cancel();
             timer = null;
--- a/gateway/src/main/java/org/hornbeamhead/gateway/caller/CallerHandler.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/caller/CallerHandler.java
@@ -2,14 +2,14 @@
 
 import org.hornbeamhead.core.http.WholeRequest;
 
-/** Answers the requests of callers. */
+/** Handles requests of callers. */
 @FunctionalInterface
 public interface CallerHandler {
     /**
-     * Answers a request. Called on the reactor's thread; the answer may be written later.
+     * Handles a request. Called on the reactor thread; the response may be written later.
      *
      * @param request the request
-     * @param answer takes the answer
+     * @param response receives the response
      */
-    void handle(WholeRequest request, CallerAnswer answer);
+    void handle(WholeRequest request, CallerResponse response);
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/caller/CallerFront.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/caller/CallerServer.java
@@ -13,12 +13,12 @@
 import org.hornbeamhead.core.route.CallerLimits;
 import org.hornbeamhead.daemon.Metrics;
 
-/** The listener for callers, and their connections. */
-public final class CallerFront {
+/** Accepts and tracks the connections of callers. */
+public final class CallerServer {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     /**
-     * How long a connection stays half closed after its last answer. A close with unread bytes resets the connection,
-     * and a reset can overtake the answer; one round trip between data centres is a few milliseconds.
+     * How long a connection stays half closed after its last response. Closing with unread bytes resets the connection,
+     * and a reset can overtake the response; one round trip between data centres takes a few milliseconds.
      */
     static final long LINGER_MILLIS = 50;
 
@@ -26,20 +26,20 @@
     private final CallerHandler handler;
     private final Supplier<CallerLimits> limits;
     private final Metrics metrics;
-    private final Set<CallerConnection> open = new HashSet<>();
+    private final Set<CallerConnection> openConnections = new HashSet<>();
     private SimpleServer server;
     private int inFlight;
     private boolean draining;
 
     /**
-     * Makes a front that does not listen yet.
+     * Creates a server that does not listen yet.
      *
-     * @param reactor the thread's reactor
-     * @param handler answers requests
-     * @param limits what callers may send, read for each new connection
-     * @param metrics the process's metrics
+     * @param reactor the reactor of the current thread
+     * @param handler handles the requests
+     * @param limits the limits for callers, read for each new connection
+     * @param metrics the metrics of the process
      */
-    public CallerFront(NioReactor reactor, CallerHandler handler, Supplier<CallerLimits> limits, Metrics metrics) {
+    public CallerServer(NioReactor reactor, CallerHandler handler, Supplier<CallerLimits> limits, Metrics metrics) {
         this.reactor = reactor;
         this.handler = handler;
         this.limits = limits;
@@ -49,8 +49,8 @@
     /**
      * Starts to listen.
      *
-     * @param address where
-     * @throws IOException when the address cannot be bound
+     * @param address the address to bind
+     * @throws IOException if the address cannot be bound
      */
     public void listen(InetSocketAddress address) throws IOException {
         server = SimpleServer.builder(reactor, this::accept)
@@ -61,7 +61,7 @@
 
     private void accept(ITcpSocket socket) {
         CallerConnection connection = new CallerConnection(reactor, socket, this, limits.get());
-        open.add(connection);
+        openConnections.add(connection);
         connection.start();
     }
 
@@ -70,61 +70,61 @@
     }
 
     /**
-     * Tells whether connections are closed after their next answer.
+     * Returns whether connections are closed after their next response.
      *
-     * @return true once draining
+     * @return true once draining has started
      */
     public boolean draining() {
         return draining;
     }
 
-    /** Lets each connection end with its next answer; new ones are still taken. */
+    /** Starts draining: each connection is closed after its next response, but new connections are still accepted. */
     public void drain() {
         draining = true;
     }
 
-    /** Closes the connections that carry no request. */
+    /** Closes the connections without a request in progress. */
     public void closeIdle() {
-        List.copyOf(open).forEach(CallerConnection::closeIdle);
+        List.copyOf(openConnections).forEach(CallerConnection::closeIdle);
     }
 
-    /** Takes no more connections. */
+    /** Stops accepting connections. */
     public void stopListening() {
         server.close();
     }
 
     /**
-     * Counts the requests under way.
+     * Returns the number of requests in flight.
      *
-     * @return the number
+     * @return the number of requests
      */
     public int inFlight() {
         return inFlight;
     }
 
     /**
-     * Counts the open connections.
+     * Returns the number of open connections.
      *
-     * @return the number
+     * @return the number of connections
      */
-    public int connections() {
-        return open.size();
+    public int connectionCount() {
+        return openConnections.size();
     }
 
-    void began() {
+    void requestStarted() {
         inFlight++;
     }
 
-    void ended() {
+    void requestEnded() {
         inFlight--;
     }
 
-    void closed(CallerConnection connection) {
-        open.remove(connection);
+    void connectionClosed(CallerConnection connection) {
+        openConnections.remove(connection);
     }
 
-    void refusedUnread(int status, String why) {
+    void recordRejection(int status, String reason) {
         metrics.count("hornbeam_callers_refused_unread", "status", Integer.toString(status));
-        logger.atInfo().log("request refused unread: %d, %s", status, why);
+        logger.atInfo().log("request rejected before it was read completely: %d, %s", status, reason);
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Attempt.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Attempt.java
@@ -15,35 +15,45 @@
 import org.hornbeamhead.gateway.replica.ReplicaConnection;
 import org.hornbeamhead.gateway.replica.ReplicaListener;
 
-/** One try of a request at one replica. */
+/** One attempt to run a request at one replica. */
 final class Attempt implements ReplicaListener {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    /** A kept connection idle for longer may be closed by the replica just as the request is written. */
-    private static final long SAFE_IDLE_MILLIS = 1_000;
+    /**
+     * The longest idle time of a reused connection; the replica may close one that was idle for longer just as the
+     * request is written.
+     */
+    private static final long MAX_IDLE_MILLIS = 1_000;
 
-    private static final long REPEATABLE_IDLE_MILLIS = 5_000;
-    /** However many routers there are, one request may follow another's connection that was just found silent. */
+    /** The longest idle time of a reused connection for requests that may be retried. */
+    private static final long MAX_IDLE_RETRYABLE_MILLIS = 5_000;
+    /**
+     * The lowest connection limit, however many routers share the limit of the service. It allows a request to follow
+     * one whose connection has just become silent.
+     */
     private static final int MIN_CONNECTIONS = 2;
-    /** Engines at work send an event every tenth of a second. */
-    private static final long SILENT_MILLIS = 500;
-    /** A replica's own failures are 5xx. */
-    private static final int FIRST_FAILURE = 500;
+    /**
+     * How long a replica may send nothing before it counts as silent; busy engines send an event every tenth of a
+     * second.
+     */
+    private static final long SILENCE_THRESHOLD_MILLIS = 500;
+    /** The lowest status that reports a failure of the replica itself (5xx). */
+    private static final int MIN_SERVER_ERROR = 500;
 
     private final Exchange exchange;
     private final Target target;
     private final LiveReplica replica;
-    private final EventCutter cutter = new EventCutter();
+    private final EventCutter streamParser = new EventCutter();
     private final AttemptTimers timers;
     private final AttemptRequest request;
     private ReplicaConnection connection;
     private ResponseHead head;
-    private ReplicaReply reply;
-    private BufferedAnswer buffered;
+    private ReplicaResponseInfo responseInfo;
+    private BufferedResponse buffered;
     private boolean streaming;
     private boolean sent;
-    private boolean begun;
+    private boolean processingStarted;
     private long sentAt;
-    private boolean over;
+    private boolean ended;
     private long lastHeardAt;
 
     Attempt(Exchange exchange, Target target) {
@@ -58,149 +68,161 @@
         return target;
     }
 
+    /** Returns whether the request was written to a connection. */
     boolean wasSent() {
         return sent;
     }
 
-    /** Tells whether the replica has shown that it works on the request. */
-    boolean hasBegun() {
-        return begun;
+    /** Returns whether the replica has started to process the request, as far as is known. */
+    boolean hasProcessingStarted() {
+        return processingStarted;
     }
 
-    /** When it was sent, if it was, in milliseconds of the monotonic clock. */
+    /** Returns when the request was sent, in milliseconds of the monotonic clock; meaningful only if it was sent. */
     long sentAt() {
         return sentAt;
     }
 
-    /** Tells whether the replica has the request and has said nothing for a while. */
+    /** Returns whether the request was sent and nothing has been received for longer than the silence threshold. */
     boolean isSilent() {
-        return sent && !over && now() - lastHeardAt > SILENT_MILLIS;
+        return sent && !ended && now() - lastHeardAt > SILENCE_THRESHOLD_MILLIS;
     }
 
     void start() {
-        Route route = exchange.subject().route();
-        long idle = route.repeatable() ? REPEATABLE_IDLE_MILLIS : SAFE_IDLE_MILLIS;
-        int limit = Math.max(
+        Route route = exchange.serviceRequest().route();
+        long maxIdle = route.repeatable() ? MAX_IDLE_RETRYABLE_MILLIS : MAX_IDLE_MILLIS;
+        int maxConnections = Math.max(
                 MIN_CONNECTIONS,
-                exchange.dispatcher().part(exchange.subject().service().maxConnections()));
-        request.noteSent();
-        replica.connections().take(idle, limit).subscribe((taken, e) -> {
-            if (over) {
-                if (taken != null) {
-                    replica.connections().giveBack(taken);
+                exchange.dispatcher()
+                        .localShare(exchange.serviceRequest().service().maxConnections()));
+        request.recordSent();
+        replica.connections().take(maxIdle, maxConnections).subscribe((acquired, e) -> {
+            if (ended) {
+                if (acquired != null) {
+                    replica.connections().giveBack(acquired);
                 }
             } else if (e != null) {
                 replica.guard().unreachable(now());
                 end(AttemptEnd.NOT_SENT, "no connection: " + e.getMessage(), Optional.empty());
-            } else if (weightsOutOfUse()) {
-                replica.connections().giveBack(taken);
+            } else if (weightsExpired()) {
+                replica.connections().giveBack(acquired);
                 end(AttemptEnd.NOT_SENT, "weights went out of use while it connected", Optional.empty());
             } else {
-                send(taken);
+                send(acquired);
             }
         });
     }
 
-    /** Opening a connection takes its time; a request that is not sent after all has surely not run. */
-    private boolean weightsOutOfUse() {
-        return request.weights()
-                .filter(w -> exchange.dispatcher().beginLimits().leftMillis(w) <= 0)
+    /**
+     * Returns whether the weights expired, which can happen while the connection is opened. A request that is not sent
+     * has certainly not run.
+     */
+    private boolean weightsExpired() {
+        return request.modelVersion()
+                .filter(v -> exchange.dispatcher().weightsExpiry().remainingMillis(v) <= 0)
                 .isPresent();
     }
 
-    private void send(ReplicaConnection taken) {
-        connection = taken;
+    private void send(ReplicaConnection acquired) {
+        connection = acquired;
         sent = true;
         sentAt = now();
         lastHeardAt = sentAt;
-        SendOrder order = exchange.orderFor(target);
-        request.logSent(order);
-        armSilence(request.patience().firstByteMillis());
-        request.weights()
-                .ifPresent(w -> timers.begin(exchange.dispatcher().beginLimits().watch(w, this::takeBack)));
-        timers.doubt(request.patience().doubtMillis(), this::doubtReplica);
-        taken.send(request.message(order), request.method(), request::answeredBy, this);
+        ForwardingOptions options = exchange.forwardingOptions(target);
+        request.logSent(options);
+        armSilenceTimer(request.silenceTimeouts().firstByteMillis());
+        request.modelVersion()
+                .ifPresent(v -> timers.setWeightsWatch(
+                        exchange.dispatcher().weightsExpiry().watch(v, this::cancelExpired)));
+        timers.startProbeTimer(request.silenceTimeouts().probeDelayMillis(), this::probeReplica);
+        acquired.send(request.message(options), request.method(), request::matchesResponse, this);
     }
 
-    /** Nothing has come for longer than predicted: the replica may be gone without a sign. */
-    private void doubtReplica() {
-        if (!over && head == null) {
+    /**
+     * Probes the replica when no response has arrived within the predicted time; it may have failed without any sign.
+     */
+    private void probeReplica() {
+        if (!ended && head == null) {
             replica.connections().probe(() -> replica.guard().unreachable(now()));
         }
     }
 
     /**
-     * The weights go out of use before the request has begun: it may not begin there any more, whatever it costs. The
-     * replica is not to blame, and may have begun a moment ago.
+     * Cancels the attempt when the weights expire before the request has started: it must not start on them any more,
+     * even if this wastes work. The replica is not at fault, and may have started a moment ago.
      */
-    private void takeBack() {
+    private void cancelExpired() {
         connection.close();
         end(AttemptEnd.SILENT, "not begun when the weights went out of use", Optional.empty());
     }
 
     /**
-     * Gives the try up when nothing comes for a time, if another replica can take over then.
+     * Starts the silence timer. When it expires, the attempt is abandoned if another replica can take over; otherwise
+     * the timer is restarted.
      *
-     * <p>Failure: an engine pauses for longer than its stream should, and the budget of repeats is used up. Symptom:
-     * the caller's answer is cut in the middle, though the engine would have gone on. Silence alone ends nothing.
+     * <p>An engine may pause for longer than its stream should after the retry budget is used up. Abandoning the
+     * attempt would then cut off a response that the engine would still have completed, so silence alone never ends an
+     * attempt.
      */
-    private void armSilence(long millis) {
-        timers.silence(millis, () -> {
-            if (exchange.canMove()) {
-                endSilent(millis);
+    private void armSilenceTimer(long millis) {
+        timers.restartSilenceTimer(millis, () -> {
+            if (exchange.canRetryNow()) {
+                endAsSilent(millis);
             } else {
                 logger.atInfo()
                         .with(Logs.REQUEST, request.id())
                         .with(Logs.DECISION, "waits on")
-                        .with(Logs.REASON, "silent for " + millis + " ms, and nobody can take over")
-                        .log("the try goes on");
-                armSilence(millis);
+                        .with(Logs.REASON, "silent for " + millis + " ms, and no other replica can take over")
+                        .log("attempt continues without a response");
+                armSilenceTimer(millis);
             }
         });
     }
 
-    private void endSilent(long millis) {
+    private void endAsSilent(long millis) {
         replica.connections().distrustKept();
         closeAndEnd(AttemptEnd.SILENT, "silent for " + millis + " ms");
     }
 
     @Override
-    public void head(ResponseHead came) {
+    public void head(ResponseHead received) {
         lastHeardAt = now();
-        head = came;
-        reply = exchange.dispatcher().dialect().reply(came, replica.entry().id());
-        reply.weights().ifPresent(replica::sawWeights);
-        boolean own = reply.fromReplica() || reply.notRun() || reply.otherReplica();
-        if (!own || (came.ok() && reply.requestId().isEmpty())) {
+        head = received;
+        responseInfo = exchange.dispatcher()
+                .headerCodec()
+                .decodeResponse(received, replica.entry().id());
+        responseInfo.weightsVersion().ifPresent(replica::sawWeights);
+        boolean attributable = responseInfo.fromReplica() || responseInfo.notExecuted() || responseInfo.wrongReplica();
+        if (!attributable || (received.ok() && responseInfo.requestId().isEmpty())) {
             closeAndEnd(AttemptEnd.BROKEN, "the answer bears no proof that it belongs to the request");
             return;
         }
-        streaming = exchange.streams() && came.ok();
+        streaming = exchange.isStreaming() && received.ok();
         if (!streaming) {
-            buffered = new BufferedAnswer(
-                    came.status(), exchange.dispatcher().dialect().toCaller(came));
+            buffered = new BufferedResponse(
+                    received.status(), exchange.dispatcher().headerCodec().callerHeaders(received));
         }
     }
 
     /**
-     * The first bytes, even of half an event, prove that the request has begun: a replica makes them from its first
-     * token. The head proves nothing, since it may come while the request still waits.
+     * Processes body bytes. The first bytes, even an incomplete event, prove that the request has started: a replica
+     * sends them with its first token. The head proves nothing, since it may be sent while the request is still queued.
      */
     @Override
     public Promise<Void> body(byte[] bytes) {
         lastHeardAt = now();
-        if (over || bytes.length == 0) {
+        if (ended || bytes.length == 0) {
             return Promise.complete();
         }
-        begun = true;
-        timers.begun();
+        processingStarted = true;
+        timers.stopWeightsWatch();
         if (!streaming) {
-            buffered.add(bytes);
+            buffered.append(bytes);
             return Promise.complete();
         }
         List<EventCutter.Event> events;
         try {
-            events = cutter.feed(bytes);
+            events = streamParser.feed(bytes);
         } catch (CorruptStreamException e) {
             closeAndEnd(AttemptEnd.BROKEN, e.getMessage());
             return Promise.complete();
@@ -210,90 +232,91 @@
 
     private Promise<Void> relay(List<EventCutter.Event> events) {
         replica.load().firstEvent(request.id(), now());
-        armSilence(request.patience().pauseMillis());
-        ByteArrayOutputStream fresh = new ByteArrayOutputStream();
-        events.stream().filter(e -> exchange.progress().advance(e.id())).forEach(e -> fresh.writeBytes(e.bytes()));
-        if (fresh.size() == 0) {
+        armSilenceTimer(request.silenceTimeouts().pauseMillis());
+        ByteArrayOutputStream newEvents = new ByteArrayOutputStream();
+        events.stream().filter(e -> exchange.progress().advance(e.id())).forEach(e -> newEvents.writeBytes(e.bytes()));
+        if (newEvents.size() == 0) {
             return Promise.complete();
         }
-        exchange.begin(head);
-        exchange.relayed();
-        return exchange.answer().write(fresh.toByteArray());
+        exchange.beginResponse(head);
+        exchange.recordRelay();
+        return exchange.response().write(newEvents.toByteArray());
     }
 
     @Override
     public void whole() {
-        if (over) {
+        if (ended) {
             return;
         }
-        if (reply.notRun() || reply.otherReplica()) {
-            refused();
-        } else if (head.status() >= FIRST_FAILURE) {
+        if (responseInfo.notExecuted() || responseInfo.wrongReplica()) {
+            endRefused();
+        } else if (head.status() >= MIN_SERVER_ERROR) {
             replica.guard().failed(now());
-            endAndGiveBack(AttemptEnd.FAILED, "the replica answered " + head.status(), Optional.of(buffered));
-        } else if (streaming && cutter.insideEvent()) {
+            releaseAndEnd(AttemptEnd.FAILED, "the replica answered " + head.status(), Optional.of(buffered));
+        } else if (streaming && streamParser.insideEvent()) {
             end(AttemptEnd.BROKEN, "the stream ended inside an event", Optional.empty());
         } else {
             deliver();
         }
     }
 
-    private void refused() {
+    private void endRefused() {
         boolean misdirected = head.status() == 421;
-        if (misdirected && reply.otherReplica()) {
+        if (misdirected && responseInfo.wrongReplica()) {
             replica.guard().unreachable(now());
         } else if (!misdirected) {
             replica.guard().failed(now());
         }
-        AttemptEnd how = misdirected ? AttemptEnd.MISDIRECTED : AttemptEnd.REFUSED;
-        endAndGiveBack(how, "the replica did not run it: " + head.status(), Optional.empty());
+        AttemptEnd outcome = misdirected ? AttemptEnd.MISDIRECTED : AttemptEnd.REFUSED;
+        releaseAndEnd(outcome, "the replica did not run it: " + head.status(), Optional.empty());
     }
 
     private void deliver() {
         stop();
         replica.guard().succeeded();
-        exchange.completed();
+        exchange.recordCompletion();
         replica.connections().giveBack(connection);
         if (streaming) {
-            exchange.begin(head);
-            exchange.answer().end();
+            exchange.beginResponse(head);
+            exchange.response().end();
         } else {
-            buffered.deliver(exchange.answer());
+            buffered.sendTo(exchange.response());
         }
-        exchange.delivered("DELIVERED");
+        exchange.responseDelivered("DELIVERED");
     }
 
     @Override
-    public void broken(String why) {
-        if (!over) {
+    public void broken(String reason) {
+        if (!ended) {
             replica.guard().failed(now());
-            end(AttemptEnd.BROKEN, why, Optional.empty());
+            end(AttemptEnd.BROKEN, reason, Optional.empty());
         }
     }
 
-    private void closeAndEnd(AttemptEnd how, String why) {
-        if (!over) {
+    private void closeAndEnd(AttemptEnd outcome, String reason) {
+        if (!ended) {
             replica.guard().failed(now());
             connection.close();
-            end(how, why, Optional.empty());
+            end(outcome, reason, Optional.empty());
         }
     }
 
-    private void endAndGiveBack(AttemptEnd how, String why, Optional<BufferedAnswer> failure) {
+    private void releaseAndEnd(AttemptEnd outcome, String reason, Optional<BufferedResponse> failure) {
         replica.connections().giveBack(connection);
-        end(how, why, failure);
+        end(outcome, reason, failure);
     }
 
-    private void end(AttemptEnd how, String why, Optional<BufferedAnswer> failure) {
+    private void end(AttemptEnd outcome, String reason, Optional<BufferedResponse> failure) {
         stop();
-        if (!how.mayHaveRun()) {
-            target.choice().ifPresent(c -> exchange.dispatcher().picker().refused(replica, c));
+        if (!outcome.mayHaveRun()) {
+            target.engineChoice()
+                    .ifPresent(c -> exchange.dispatcher().targetSelector().recordRefused(replica, c));
         }
-        exchange.attemptEnded(how, why, failure);
+        exchange.attemptEnded(outcome, reason, failure);
     }
 
-    /** Gives the try up: the replica sees its connection close, and stops. */
-    void abandon() {
+    /** Cancels the attempt by closing its connection, which makes the replica stop. */
+    void cancel() {
         stop();
         if (connection != null) {
             connection.close();
@@ -301,8 +324,8 @@
     }
 
     private void stop() {
-        over = true;
-        timers.stop();
+        ended = true;
+        timers.cancelAll();
         replica.load().ended(request.id());
     }
 
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/AttemptRequest.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/AttemptRequest.java
@@ -8,7 +8,7 @@
 import org.hornbeamhead.daemon.Logs;
 import org.hornbeamhead.gateway.replica.LiveReplica;
 
-/** What one try sends to its replica, and what is expected of it. */
+/** The request that an attempt sends to its replica, and the response expected for it. */
 final class AttemptRequest {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
@@ -23,75 +23,81 @@
     }
 
     String id() {
-        return exchange.subject().request().id();
+        return exchange.serviceRequest().callerRequest().id();
     }
 
     String method() {
-        return exchange.subject().request().whole().head().method();
+        return exchange.serviceRequest().callerRequest().message().head().method();
     }
 
-    byte[] message(SendOrder order) {
-        CallerRequest request = exchange.subject().request();
-        return RequestMessage.of(
-                request.whole(), exchange.dispatcher().dialect().toReplica(request, order));
+    byte[] message(ForwardingOptions options) {
+        CallerRequest request = exchange.serviceRequest().callerRequest();
+        return RequestMessage.encode(
+                request.message(), exchange.dispatcher().headerCodec().replicaHeaders(request, options));
     }
 
-    /** The replica is counted upon from the moment at which a connection is asked for. */
-    void noteSent() {
-        Optional<Prompt> prompt = exchange.subject().request().prompt();
-        int memory = prompt.map(Prompt::memoryTokens).orElse(0);
-        boolean longAnswer = prompt.map(Prompt::hasLongAnswer).orElse(false);
-        double read = target.choice().map(EngineChoice::readMillis).orElse(0.0);
-        replica.load().sent(id(), read, memory, longAnswer, now());
-        target.choice().ifPresent(c -> exchange.dispatcher().sentToEngine(replica, c));
+    /**
+     * Adds the request to the load of the replica. This happens as soon as a connection is requested, not only when the
+     * request is sent.
+     */
+    void recordSent() {
+        Optional<Prompt> prompt = exchange.serviceRequest().callerRequest().prompt();
+        int memoryTokens = prompt.map(Prompt::memoryTokens).orElse(0);
+        boolean longResponse = prompt.map(Prompt::hasLongAnswer).orElse(false);
+        double readMillis = target.engineChoice().map(EngineChoice::readMillis).orElse(0.0);
+        replica.load().sent(id(), readMillis, memoryTokens, longResponse, now());
+        target.engineChoice().ifPresent(c -> exchange.dispatcher().recordEngineSend(replica, c));
     }
 
-    /** The weights on which the request would begin; empty where it needs none. */
-    Optional<BeginLimits.Weights> weights() {
-        Optional<Prompt> prompt = exchange.subject().request().prompt();
-        return target.choice()
-                .flatMap(c -> prompt.map(
-                        p -> new BeginLimits.Weights(p.model(), c.engine().weights())));
+    /** Returns the weights that the request would run on; empty when it needs none. */
+    Optional<WeightsExpiryMonitor.ModelVersion> modelVersion() {
+        Optional<Prompt> prompt = exchange.serviceRequest().callerRequest().prompt();
+        return target.engineChoice()
+                .flatMap(c -> prompt.map(p -> new WeightsExpiryMonitor.ModelVersion(
+                        p.model(), c.engine().weights())));
     }
 
-    /** Tells the log what goes where, and why. */
-    void logSent(SendOrder order) {
+    /** Logs which request is sent to which replica, and why. */
+    void logSent(ForwardingOptions options) {
         logger.atInfo()
                 .with(Logs.REQUEST, id())
                 .with(Logs.REPLICA, replica.entry().id())
                 .with(Logs.DECISION, "sent")
-                .with(Logs.REASON, target.why())
-                .with(Logs.INPUTS, inputs(order))
+                .with(Logs.REASON, target.reason())
+                .with(Logs.INPUTS, logInputs(options))
                 .log("sent");
     }
 
-    private String inputs(SendOrder order) {
-        BeginLimits limits = exchange.dispatcher().beginLimits();
+    private String logInputs(ForwardingOptions options) {
+        WeightsExpiryMonitor monitor = exchange.dispatcher().weightsExpiry();
         return "predictedMillis=" + Math.round(target.predictedMillis())
                 + " load=" + replica.load().total(now())
-                + " millisLeft=" + order.timeLeftMillis()
-                + order.engine().map(e -> " salt=" + e.salt()).orElse("")
-                + weights()
-                        .map(limits::leftMillis)
-                        .filter(left -> left != Patience.UNLIMITED)
-                        .map(left -> " weightsMillisLeft=" + left)
+                + " millisLeft=" + options.timeLeftMillis()
+                + options.engine().map(e -> " salt=" + e.salt()).orElse("")
+                + modelVersion()
+                        .map(monitor::remainingMillis)
+                        .filter(remaining -> remaining != SilenceTimeouts.UNLIMITED)
+                        .map(remaining -> " weightsMillisLeft=" + remaining)
                         .orElse("");
     }
 
-    /** How long the try may be silent, as things stand now. */
-    Patience patience() {
-        return new Patience(
-                exchange.subject().route().limits(),
-                exchange.streams(),
-                exchange.mayTryAgain(),
+    /** Returns the silence timeouts of the attempt under the current conditions. */
+    SilenceTimeouts silenceTimeouts() {
+        return new SilenceTimeouts(
+                exchange.serviceRequest().route().limits(),
+                exchange.isStreaming(),
+                exchange.canRetry(),
                 target.predictedMillis());
     }
 
-    /** Only an answer that names another request surely belongs to that one. */
-    boolean answeredBy(ResponseHead answered) {
+    /**
+     * Returns whether a response may belong to this request. Only a response that names another request certainly does
+     * not.
+     */
+    boolean matchesResponse(ResponseHead head) {
         String id = exchange.dispatcher()
-                .dialect()
-                .reply(answered, replica.entry().id())
+                .headerCodec()
+                .decodeResponse(head, replica.entry().id())
                 .requestId();
         return id.isEmpty() || id.equals(id());
     }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/AttemptTimers.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/AttemptTimers.java
@@ -3,43 +3,45 @@
 import io.activej.reactor.nio.NioReactor;
 import io.activej.reactor.schedule.ScheduledRunnable;
 
-/** The limits of one try: each has a timer of its own, so that setting one never ends another. */
+/** The timers of one attempt. Each timeout has its own timer, so setting one never cancels another. */
 final class AttemptTimers {
     private final NioReactor reactor;
-    private ScheduledRunnable silence;
-    private ScheduledRunnable doubt;
-    private Runnable unwatch = () -> {};
+    private ScheduledRunnable silenceTimer;
+    private ScheduledRunnable probeTimer;
+    private Runnable stopWatch = () -> {};
 
     AttemptTimers(NioReactor reactor) {
         this.reactor = reactor;
     }
 
-    /** Sets what happens when nothing comes for a time, instead of what was set before. */
-    void silence(long millis, Runnable action) {
-        cancel(silence);
-        silence = millis == Patience.UNLIMITED ? null : reactor.delayBackground(millis, action);
+    /** Starts the silence timer, replacing a previous one. */
+    void restartSilenceTimer(long millis, Runnable action) {
+        cancel(silenceTimer);
+        silenceTimer = millis == SilenceTimeouts.UNLIMITED ? null : reactor.delayBackground(millis, action);
     }
 
-    /** Sets when the replica is doubted. */
-    void doubt(long millis, Runnable action) {
-        doubt = reactor.delayBackground(millis, action);
+    /** Starts the timer after which the replica is probed. */
+    void startProbeTimer(long millis, Runnable action) {
+        probeTimer = reactor.delayBackground(millis, action);
     }
 
-    /** Takes over the watch on the weights, which is called when the request has begun or the try ends. */
-    void begin(Runnable ended) {
-        unwatch = ended;
+    /**
+     * Sets the action that stops the watch on the weights version; it runs when processing starts or the attempt ends.
+     */
+    void setWeightsWatch(Runnable stopAction) {
+        stopWatch = stopAction;
     }
 
-    /** The request has begun: its weights limit it no more. */
-    void begun() {
-        unwatch.run();
+    /** Stops the watch on the weights version, since processing has started. */
+    void stopWeightsWatch() {
+        stopWatch.run();
     }
 
-    /** The try is over. */
-    void stop() {
-        unwatch.run();
-        cancel(silence);
-        cancel(doubt);
+    /** Cancels all timers when the attempt ends. */
+    void cancelAll() {
+        stopWatch.run();
+        cancel(silenceTimer);
+        cancel(probeTimer);
     }
 
     private static void cancel(ScheduledRunnable timer) {
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/BufferedAnswer.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/BufferedResponse.java
@@ -2,24 +2,24 @@
 
 import java.io.ByteArrayOutputStream;
 import org.hornbeamhead.core.http.Headers;
-import org.hornbeamhead.gateway.caller.CallerAnswer;
+import org.hornbeamhead.gateway.caller.CallerResponse;
 
-/** A replica's answer that is passed on only once it is whole. */
-final class BufferedAnswer {
+/** A replica's response that is buffered and sent to the caller only once it is complete. */
+final class BufferedResponse {
     private final int status;
     private final Headers headers;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
 
-    BufferedAnswer(int status, Headers headers) {
+    BufferedResponse(int status, Headers headers) {
         this.status = status;
         this.headers = headers;
     }
 
-    void add(byte[] bytes) {
+    void append(byte[] bytes) {
         body.writeBytes(bytes);
     }
 
-    void deliver(CallerAnswer answer) {
-        answer.respond(status, headers, body.toByteArray());
+    void sendTo(CallerResponse response) {
+        response.respond(status, headers, body.toByteArray());
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/CallerRequest.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/CallerRequest.java
@@ -6,21 +6,21 @@
 import org.hornbeamhead.core.http.WholeRequest;
 
 /**
- * A caller's request, read out of its dialect.
+ * A caller's request and the values decoded from its headers.
  *
- * @param whole the request as it came
- * @param id names this request; empty when the caller gave none
- * @param host the host that the caller asks for
+ * @param message the complete HTTP request as received
+ * @param id the request id; empty when the caller sent none
+ * @param host the requested host
  * @param key the customer's key
  * @param timeLeftMillis how long the caller will wait, in milliseconds
- * @param prompt the prompt's parts, for requests to engines
- * @param lastEvent the event after which the caller wants a stream to go on
+ * @param prompt the parsed prompt, for requests to engines
+ * @param lastEventId the id of the event after which the caller wants to resume a stream
  */
 public record CallerRequest(
-        WholeRequest whole,
+        WholeRequest message,
         String id,
         String host,
         Optional<String> key,
         OptionalLong timeLeftMillis,
         Optional<Prompt> prompt,
-        OptionalLong lastEvent) {}
+        OptionalLong lastEventId) {}
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Dispatcher.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Dispatcher.java
@@ -24,8 +24,8 @@
 import org.hornbeamhead.core.time.Timers;
 import org.hornbeamhead.daemon.Logs;
 import org.hornbeamhead.daemon.Metrics;
-import org.hornbeamhead.gateway.caller.CallerAnswer;
 import org.hornbeamhead.gateway.caller.CallerHandler;
+import org.hornbeamhead.gateway.caller.CallerResponse;
 import org.hornbeamhead.gateway.quarantine.Quarantine;
 import org.hornbeamhead.gateway.replica.LiveReplica;
 import org.hornbeamhead.gateway.replica.ReplicaRegistry;
@@ -33,246 +33,261 @@
 import org.hornbeamhead.gateway.state.WeightsView;
 import org.hornbeamhead.gateway.state.WorkHints;
 
-/** Answers callers: decodes, identifies, and hands each request to an exchange with replicas. */
+/**
+ * Handles requests of callers: decodes each request, finds its route and customer, and starts an exchange with
+ * replicas.
+ */
 public final class Dispatcher implements CallerHandler {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final int BAD_REQUEST = 400;
     private static final int UNAUTHORIZED = 401;
     private static final int NOT_FOUND = 404;
-    /** A router that has waited for its first configuration in vain may have one soon; others may have it now. */
+    /**
+     * Retry delay while there is no configuration. This router may load one soon, and other routers may have one
+     * already.
+     */
     private static final long NOT_READY_RETRY_MILLIS = 100;
-    /** A view that may be old is renewed by the next waiting read, or by another router. */
-    private static final long UNSURE_RETRY_MILLIS = 500;
+    /**
+     * Retry delay while the configuration may be stale. It is refreshed by the next long-poll read of the store, or by
+     * another router.
+     */
+    private static final long STALE_RETRY_MILLIS = 500;
 
-    /** Callers that are refused together come back over this time at most. */
-    private static final long MAX_SPREAD_MILLIS = 5_000;
+    /** Upper bound of the random extra delay that spreads the retries of callers that were rejected together. */
+    private static final long MAX_JITTER_MILLIS = 5_000;
 
-    /** Another router is ready at once; a moment lets the caller's next answer name it. */
-    private static final long ELSEWHERE_RETRY_MILLIS = 20;
+    /**
+     * Retry delay when another router can take the request at once; the short delay lets the next address lookup of the
+     * caller return that router.
+     */
+    private static final long OTHER_ROUTER_RETRY_MILLIS = 20;
 
     private final NioReactor reactor;
     private final Clock clock;
-    private final WireDialect dialect;
+    private final HeaderCodec headerCodec;
     private final RoutingState state;
     private final ReplicaRegistry registry;
     private final Metrics metrics;
     private final RandomGenerator random;
-    private final TargetPicker picker;
-    private final EarlyRequests early;
-    private final BeginLimits beginLimits;
-    private final BudgetLimits budgetLimits;
+    private final TargetSelector targetSelector;
+    private final StartupQueue startupQueue;
+    private final WeightsExpiryMonitor weightsExpiry;
+    private final RetryBudgetLimits budgetLimits;
     private final WorkingRouters routers;
     private final Quarantine quarantine;
-    private final RequestsUnderWay underWay = new RequestsUnderWay();
-    private WorkHints hints;
+    private final InFlightRequests inFlight = new InFlightRequests();
+    private WorkHints workHints;
     private final Map<String, SharedRetryBudget> budgets = new HashMap<>();
 
     /**
-     * The budget of repeats that all routers share.
+     * Limits of the retry budget that all routers share.
      *
-     * @param ratio repeats allowed a request
-     * @param slack repeats allowed besides, over all routers and the window
-     * @param window the window
+     * @param ratio retries allowed per request
+     * @param slack additional retries allowed, over all routers and the window
+     * @param window the sliding window
      */
-    public record BudgetLimits(double ratio, double slack, Duration window) {}
+    public record RetryBudgetLimits(double ratio, double slack, Duration window) {}
 
     /**
-     * What the dispatcher works with.
+     * The dependencies of a dispatcher.
      *
-     * @param reactor the thread's reactor
+     * @param reactor the reactor of the current thread
      * @param clock the clock
-     * @param dialect the header lines
-     * @param state the configuration in force
+     * @param headerCodec decodes and encodes headers
+     * @param state the current configuration
      * @param registry the replicas
-     * @param weights the named weights
-     * @param metrics the process's metrics
+     * @param weights the released weights versions
+     * @param metrics the metrics of the process
      * @param random the source of randomness
-     * @param dataCentre where this router stands
-     * @param inherits whether the system has served before this router started
-     * @param budgetLimits the shared budget of repeats
-     * @param routers the routers with which limits are shared
-     * @param quarantine which requests may not run
+     * @param dataCentre the data centre of this router
+     * @param priorTraffic whether the system may have served requests before this router started
+     * @param budgetLimits the limits of the shared retry budget
+     * @param routers the routers that share limits
+     * @param quarantine the quarantined requests
      */
-    public record Parts(
+    public record Dependencies(
             NioReactor reactor,
             Clock clock,
-            WireDialect dialect,
+            HeaderCodec headerCodec,
             RoutingState state,
             ReplicaRegistry registry,
             WeightsView weights,
             Metrics metrics,
             RandomGenerator random,
             String dataCentre,
-            boolean inherits,
-            BudgetLimits budgetLimits,
+            boolean priorTraffic,
+            RetryBudgetLimits budgetLimits,
             WorkingRouters routers,
             Quarantine quarantine) {}
 
     /**
-     * Makes a dispatcher.
+     * Creates a dispatcher.
      *
-     * @param parts what it works with
+     * @param dependencies the dependencies
      */
-    public Dispatcher(Parts parts) {
-        this.reactor = parts.reactor();
-        this.clock = parts.clock();
-        this.dialect = parts.dialect();
-        this.state = parts.state();
-        this.registry = parts.registry();
-        this.metrics = parts.metrics();
-        this.random = parts.random();
-        this.budgetLimits = parts.budgetLimits();
-        this.routers = parts.routers();
-        this.quarantine = parts.quarantine();
-        quarantine.onHeld(underWay::held);
+    public Dispatcher(Dependencies dependencies) {
+        this.reactor = dependencies.reactor();
+        this.clock = dependencies.clock();
+        this.headerCodec = dependencies.headerCodec();
+        this.state = dependencies.state();
+        this.registry = dependencies.registry();
+        this.metrics = dependencies.metrics();
+        this.random = dependencies.random();
+        this.budgetLimits = dependencies.budgetLimits();
+        this.routers = dependencies.routers();
+        this.quarantine = dependencies.quarantine();
+        quarantine.onQuarantined(inFlight::cancelQuarantined);
         Timers timers = (delay, action) -> reactor.delayBackground(delay, action);
-        WeightsView weights = parts.weights();
-        this.early = new EarlyRequests(timers);
-        this.beginLimits =
-                new BeginLimits(timers, w -> weights.usableMillis(w.model(), w.version(), clock.monotonicMillis()));
-        this.picker = new TargetPicker(clock, registry, weights, parts.dataCentre(), parts.inherits());
+        WeightsView weights = dependencies.weights();
+        this.startupQueue = new StartupQueue(timers);
+        this.weightsExpiry = new WeightsExpiryMonitor(
+                timers, v -> weights.usableMillis(v.model(), v.version(), clock.monotonicMillis()));
+        this.targetSelector =
+                new TargetSelector(clock, registry, weights, dependencies.dataCentre(), dependencies.priorTraffic());
     }
 
     @Override
-    public void handle(WholeRequest whole, CallerAnswer answer) {
-        CallerRequest request = dialect.read(whole);
+    public void handle(WholeRequest message, CallerResponse response) {
+        CallerRequest request = headerCodec.decodeRequest(message);
         long arrivedAt = clock.monotonicMillis();
         if (state.config().isPresent()) {
-            route(state.config().get(), request, answer, arrivedAt);
+            routeRequest(state.config().get(), request, response, arrivedAt);
         } else {
-            early.hold(
-                    () -> route(state.config().orElseThrow(), request, answer, arrivedAt),
-                    () -> refuseUnrun(request, answer, "no configuration yet", NOT_READY_RETRY_MILLIS));
+            startupQueue.add(
+                    () -> routeRequest(state.config().orElseThrow(), request, response, arrivedAt),
+                    () -> rejectNotExecuted(request, response, "no configuration yet", NOT_READY_RETRY_MILLIS));
         }
     }
 
-    /** The first configuration is known. */
-    public void configured() {
-        early.release();
+    /** Serves the requests that were queued until the first configuration was loaded. */
+    public void configurationLoaded() {
+        startupQueue.release();
     }
 
-    private void route(RoutingConfig config, CallerRequest request, CallerAnswer answer, long arrivedAt) {
+    private void routeRequest(RoutingConfig config, CallerRequest request, CallerResponse response, long arrivedAt) {
         Optional<Route> route =
-                config.route(request.host(), request.whole().head().path());
+                config.route(request.host(), request.message().head().path());
         if (route.isEmpty()) {
-            deny(request, answer, NOT_FOUND, "no route");
+            deny(request, response, NOT_FOUND, "no route");
             return;
         }
         Optional<KeyOwner> owner = request.key().flatMap(config::owner);
         if (owner.isEmpty() && config.needsKeys() && !route.get().open()) {
-            deny(request, answer, UNAUTHORIZED, "no customer has this key");
+            deny(request, response, UNAUTHORIZED, "no customer has this key");
             return;
         }
         if (request.id().isEmpty()) {
-            answer(request, answer, BAD_REQUEST, "the request names no id", Headers.NONE);
+            respond(request, response, BAD_REQUEST, "the request names no id", Headers.NONE);
             return;
         }
-        forward(new Asked(config, route.get(), owner, request, arrivedAt), answer);
+        forward(new RoutedRequest(config, route.get(), owner, request, arrivedAt), response);
     }
 
     /**
-     * Answers that a request has not run and may be sent to another router at once.
+     * Rejects a request that has not run and that the caller may send to another router at once.
      *
-     * @param whole the request
-     * @param answer takes the answer
-     * @param why for the caller
+     * @param message the request
+     * @param response receives the response
+     * @param reason the reason, sent to the caller
      */
-    public void giveBack(WholeRequest whole, CallerAnswer answer, String why) {
-        refuseUnrun(dialect.read(whole), answer, why, ELSEWHERE_RETRY_MILLIS);
+    public void rejectForOtherRouter(WholeRequest message, CallerResponse response, String reason) {
+        rejectNotExecuted(headerCodec.decodeRequest(message), response, reason, OTHER_ROUTER_RETRY_MILLIS);
     }
 
-    private void forward(Asked asked, CallerAnswer answer) {
-        String name = asked.route().serviceFor(draw(asked.request().id()));
-        Optional<ServiceSpec> service = asked.config().service(name);
+    private void forward(RoutedRequest routed, CallerResponse response) {
+        String name = routed.route().serviceFor(hash(routed.callerRequest().id()));
+        Optional<ServiceSpec> service = routed.config().service(name);
         if (service.isEmpty()) {
-            refuseUnrun(asked.request(), answer, "service " + name + " is not configured", UNSURE_RETRY_MILLIS);
+            rejectNotExecuted(
+                    routed.callerRequest(), response, "service " + name + " is not configured", STALE_RETRY_MILLIS);
             return;
         }
         budget(name).requested(clock.monotonicMillis());
         routers.requested(clock.monotonicMillis());
-        new Exchange(this, new Subject(asked, service.get()), answer).start();
+        new Exchange(this, new ServiceRequest(routed, service.get()), response).start();
     }
 
-    /** Spreads ids over all values, since their own bits may be a counter. */
-    private static long draw(String id) {
-        return id.chars().asLongStream().reduce(17, (h, c) -> h * 1_000_003 + c) >>> 8;
+    /** Returns a hash that is spread over all values, since the ids themselves may come from a counter. */
+    private static long hash(String id) {
+        return id.chars().asLongStream().reduce(17, (hash, c) -> hash * 1_000_003 + c) >>> 8;
     }
 
     private SharedRetryBudget budget(String service) {
         return budgets.computeIfAbsent(
                 service,
-                s -> new SharedRetryBudget(
+                name -> new SharedRetryBudget(
                         budgetLimits.ratio(),
                         budgetLimits.slack(),
                         budgetLimits.window().toMillis()));
     }
 
-    boolean takeRepeat(String service) {
+    boolean takeRetry(String service) {
         return budget(service).tryTake(clock.monotonicMillis(), routers.shareOfLimits());
     }
 
-    boolean mayRepeat(String service) {
+    boolean canRetry(String service) {
         return budget(service).canTake(clock.monotonicMillis(), routers.shareOfLimits());
     }
 
-    void sentToEngine(LiveReplica replica, EngineChoice choice) {
-        noteSent(replica, choice.beginning(), choice.storeMillis());
-        hints.sent(replica, choice);
+    void recordEngineSend(LiveReplica replica, EngineChoice choice) {
+        recordSend(replica, choice.beginning(), choice.storeMillis());
+        workHints.sent(replica, choice);
     }
 
     /**
-     * Takes over that another router sent a request to an engine.
+     * Records that another router sent a request to an engine.
      *
      * @param replica the engine
-     * @param sent what it was sent
+     * @param hint the request that was sent
      */
-    public void hinted(LiveReplica replica, WorkHint.Send sent) {
-        noteSent(replica, sent.beginning(), sent.storeMillis());
+    public void recordPeerSend(LiveReplica replica, WorkHint.Send hint) {
+        recordSend(replica, hint.beginning(), hint.storeMillis());
     }
 
-    private void noteSent(LiveReplica replica, long beginning, double storeMillis) {
-        state.config().ifPresent(c -> picker.sent(c, replica, beginning, storeMillis));
+    private void recordSend(LiveReplica replica, long beginning, double storeMillis) {
+        state.config().ifPresent(c -> targetSelector.recordSent(c, replica, beginning, storeMillis));
     }
 
     /**
-     * Passes on what this router sends.
+     * Sets the channel that announces the requests of this router to other routers.
      *
-     * @param to takes it
+     * @param hints the channel
      */
-    public void tell(WorkHints to) {
-        hints = to;
+    public void setWorkHints(WorkHints hints) {
+        workHints = hints;
     }
 
     /**
-     * Denies what the configuration does not allow.
+     * Rejects a request that the configuration does not allow.
      *
-     * <p>Failure: this router has not heard of the store for a while, and the configuration has moved on. Symptom: a
-     * caller with a new key is turned away for good. While the view may be old, the refusal says to come back.
+     * <p>When this router has had no contact with the store for a while, the configuration may have changed, and a
+     * caller with a new key would be rejected permanently. While the configuration may be stale, the caller is told to
+     * retry instead.
      */
-    private void deny(CallerRequest request, CallerAnswer answer, int status, String why) {
+    private void deny(CallerRequest request, CallerResponse response, int status, String reason) {
         if (state.surelyFresh(clock.monotonicMillis())) {
-            answer(request, answer, status, why, Headers.NONE);
+            respond(request, response, status, reason, Headers.NONE);
         } else {
-            refuseUnrun(request, answer, why + " in a configuration that may be old", UNSURE_RETRY_MILLIS);
+            rejectNotExecuted(request, response, reason + " in a configuration that may be old", STALE_RETRY_MILLIS);
         }
     }
 
-    void refuseUnrun(CallerRequest request, CallerAnswer answer, String why, long retryAfterMillis) {
-        long spread = retryAfterMillis + random.nextLong(Math.min(retryAfterMillis, MAX_SPREAD_MILLIS) + 1);
-        Headers headers = Headers.NONE.with("Retry-After", String.format(Locale.ROOT, "%.3f", spread / 1000.0));
-        answer(request, answer, FinalAnswer.NOT_RUN.status(), why, headers);
+    void rejectNotExecuted(CallerRequest request, CallerResponse response, String reason, long retryAfterMillis) {
+        long delayMillis = retryAfterMillis + random.nextLong(Math.min(retryAfterMillis, MAX_JITTER_MILLIS) + 1);
+        Headers headers = Headers.NONE.with("Retry-After", String.format(Locale.ROOT, "%.3f", delayMillis / 1000.0));
+        respond(request, response, FinalAnswer.NOT_RUN.status(), reason, headers);
     }
 
-    void answer(CallerRequest request, CallerAnswer answer, int status, String why, Headers headers) {
+    void respond(CallerRequest request, CallerResponse response, int status, String reason, Headers headers) {
         metrics.count("hornbeam_own_answers", "status", Integer.toString(status));
         logger.atInfo()
                 .with(Logs.REQUEST, request.id())
                 .with(Logs.DECISION, "own answer " + status)
-                .with(Logs.REASON, why)
+                .with(Logs.REASON, reason)
                 .with(Logs.INPUTS, state.inputs(clock.monotonicMillis()))
-                .log("answered %d", status);
-        byte[] body = (why + "\n").getBytes(StandardCharsets.UTF_8);
-        answer.respond(status, headers.with("Content-Type", "text/plain"), body);
+                .log("responded with status %d", status);
+        byte[] body = (reason + "\n").getBytes(StandardCharsets.UTF_8);
+        response.respond(status, headers.with("Content-Type", "text/plain"), body);
     }
 
     NioReactor reactor() {
@@ -283,32 +298,32 @@
         return clock;
     }
 
-    WireDialect dialect() {
-        return dialect;
+    HeaderCodec headerCodec() {
+        return headerCodec;
     }
 
-    TargetPicker picker() {
-        return picker;
+    TargetSelector targetSelector() {
+        return targetSelector;
     }
 
     Quarantine quarantine() {
         return quarantine;
     }
 
-    RequestsUnderWay underWay() {
-        return underWay;
+    InFlightRequests inFlight() {
+        return inFlight;
     }
 
-    BeginLimits beginLimits() {
-        return beginLimits;
+    WeightsExpiryMonitor weightsExpiry() {
+        return weightsExpiry;
     }
 
     Metrics metrics() {
         return metrics;
     }
 
-    /** This router's part of a limit that holds for all of them. */
-    int part(int limit) {
+    /** Returns the share of this router in a limit that applies to all routers together. */
+    int localShare(int limit) {
         return (int) (limit * routers.shareOfLimits());
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Exchange.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Exchange.java
@@ -20,80 +20,96 @@
 import org.hornbeamhead.core.route.KeyOwner;
 import org.hornbeamhead.core.route.RequestKind;
 import org.hornbeamhead.daemon.Logs;
-import org.hornbeamhead.gateway.caller.CallerAnswer;
+import org.hornbeamhead.gateway.caller.CallerResponse;
 import org.hornbeamhead.gateway.replica.LiveReplica;
 
-/** One caller's request from its arrival to its final answer, over one or more tries. */
+/** The handling of one request from its arrival to the final response, over one or more attempts. */
 final class Exchange {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    /** A try that starts with less time left can hardly end; it would only take a place at a replica. */
+    /**
+     * The least remaining time for a new attempt. A later one could hardly complete, and would only occupy a slot at a
+     * replica.
+     */
     private static final long MIN_TIME_LEFT_MILLIS = 20;
-    /** When a request that no replica could take is worth another try: a replica's queue turns over in about this. */
+    /**
+     * The retry delay given to callers whose request no replica could take, about the time in which the queue of a
+     * replica turns over.
+     */
     private static final long RETRY_AFTER_MILLIS = 300;
 
-    private static final long NO_DEADLINE_MILLIS = 60_000;
+    /** The timeout of requests whose caller sets none. */
+    private static final long DEFAULT_TIMEOUT_MILLIS = 60_000;
 
     private final Dispatcher dispatcher;
-    private final Subject subject;
-    private final CallerAnswer answer;
+    private final ServiceRequest serviceRequest;
+    private final CallerResponse response;
     private final Forwarding forwarding;
     private final Set<String> tried = new HashSet<>();
     private final long arrivedAt;
     private final long deadline;
     private final StreamProgress progress;
-    private final StreamTimes times = new StreamTimes();
+    private final StreamTimings timings = new StreamTimings();
     private ScheduledRunnable deadlineTimer;
     private Attempt attempt;
     private Optional<RequestFingerprint> fingerprint = Optional.empty();
-    private boolean over;
+    private boolean finished;
 
-    Exchange(Dispatcher dispatcher, Subject subject, CallerAnswer answer) {
+    Exchange(Dispatcher dispatcher, ServiceRequest serviceRequest, CallerResponse response) {
         this.dispatcher = dispatcher;
-        this.subject = subject;
-        this.answer = answer;
-        this.forwarding = new Forwarding(subject.route());
-        this.arrivedAt = subject.asked().arrivedAt();
-        this.deadline = arrivedAt + allowedMillis(subject);
-        this.progress = new StreamProgress(subject.request().lastEvent());
+        this.serviceRequest = serviceRequest;
+        this.response = response;
+        this.forwarding = new Forwarding(serviceRequest.route());
+        this.arrivedAt = serviceRequest.routed().arrivedAt();
+        this.deadline = arrivedAt + timeoutMillis(serviceRequest);
+        this.progress = new StreamProgress(serviceRequest.callerRequest().lastEventId());
     }
 
-    private static long allowedMillis(Subject s) {
-        long caller = s.request().timeLeftMillis().orElse(NO_DEADLINE_MILLIS);
-        long route = s.route().limits().timeoutMillis();
-        return route > 0 ? Math.min(caller, route) : caller;
+    private static long timeoutMillis(ServiceRequest request) {
+        long callerMillis = request.callerRequest().timeLeftMillis().orElse(DEFAULT_TIMEOUT_MILLIS);
+        long routeMillis = request.route().limits().timeoutMillis();
+        return routeMillis > 0 ? Math.min(callerMillis, routeMillis) : callerMillis;
     }
 
     void start() {
-        dispatcher.underWay().began(this);
-        answer.onGone(this::callerGone);
-        deadlineTimer = dispatcher.reactor().delayBackground(Math.max(0, timeLeft()), this::timeIsOver);
-        tryNext();
+        dispatcher.inFlight().add(this);
+        response.onDisconnect(this::callerDisconnected);
+        deadlineTimer = dispatcher.reactor().delayBackground(Math.max(0, timeLeftMillis()), this::deadlineExpired);
+        startNextAttempt();
     }
 
-    private long timeLeft() {
+    private long timeLeftMillis() {
         return deadline - dispatcher.clock().monotonicMillis();
     }
 
-    private void tryNext() {
-        OptionalLong held = dispatcher.quarantine().heldMillis(this::fingerprint);
-        if (held.isPresent()) {
-            holdBack(held.getAsLong());
+    private void startNextAttempt() {
+        OptionalLong quarantineMillis = dispatcher.quarantine().remainingMillis(this::fingerprint);
+        if (quarantineMillis.isPresent()) {
+            rejectQuarantined(quarantineMillis.getAsLong());
             return;
         }
-        Optional<Target> target = timeLeft() < MIN_TIME_LEFT_MILLIS
+        Optional<Target> target = timeLeftMillis() < MIN_TIME_LEFT_MILLIS
                 ? Optional.empty()
                 : dispatcher
-                        .picker()
-                        .pick(subject.config(), subject.service(), subject.request(), subject.owner(), tried);
+                        .targetSelector()
+                        .select(
+                                serviceRequest.config(),
+                                serviceRequest.service(),
+                                serviceRequest.callerRequest(),
+                                serviceRequest.owner(),
+                                tried);
         if (target.isEmpty()) {
-            giveUp(forwarding.atDeadline(false), "no replica can take it", Optional.empty(), RETRY_AFTER_MILLIS);
+            sendFinalAnswer(
+                    forwarding.atDeadline(false), "no replica can take it", Optional.empty(), RETRY_AFTER_MILLIS);
             return;
         }
-        OptionalLong comeBack = tried.isEmpty() ? admission(target.get()) : OptionalLong.empty();
-        if (comeBack.isPresent()) {
+        OptionalLong retryMillis = tried.isEmpty() ? admissionRetryMillis(target.get()) : OptionalLong.empty();
+        if (retryMillis.isPresent()) {
             finish("REFUSED_FOR_LOAD");
-            dispatcher.refuseUnrun(
-                    subject.request(), answer, "the engines are behind: " + target.get(), comeBack.getAsLong());
+            dispatcher.rejectNotExecuted(
+                    serviceRequest.callerRequest(),
+                    response,
+                    "the engines are behind: " + target.get(),
+                    retryMillis.getAsLong());
             return;
         }
         tried.add(target.get().replica().entry().run());
@@ -101,88 +117,96 @@
         attempt.start();
     }
 
-    /** Replicas ended under the request. It is answered at once: waiting does not change what it does to a replica. */
-    private void holdBack(long millis) {
-        String why = "replicas ended under requests with content " + fingerprint();
-        giveUp(forwarding.withoutAnotherTry(), why, Optional.empty(), millis);
+    /** Rejects a quarantined request. It is answered at once, since waiting does not change its effect on replicas. */
+    private void rejectQuarantined(long millis) {
+        String reason = "replicas ended under requests with content " + fingerprint();
+        sendFinalAnswer(forwarding.withoutAnotherTry(), reason, Optional.empty(), millis);
     }
 
-    /** Whether a replica has the request, or is about to get it, and has sent nothing that shows that it has begun. */
-    boolean awaits(RequestFingerprint content) {
-        return attempt != null && !attempt.hasBegun() && fingerprint().equals(content);
+    /**
+     * Returns whether an attempt is at a replica, or about to be sent, and no response bytes have shown that it has
+     * started.
+     */
+    boolean isAwaitingStart(RequestFingerprint quarantined) {
+        return attempt != null
+                && !attempt.hasProcessingStarted()
+                && fingerprint().equals(quarantined);
     }
 
-    /** The request is held back since it was sent. */
-    void takeBack() {
+    /** Cancels the current attempt because the request was quarantined after the attempt began. */
+    void cancelQuarantined() {
         if (attempt.wasSent()) {
             forwarding.takenBack();
         }
-        attempt.abandon();
+        attempt.cancel();
         attempt = null;
         dispatcher.metrics().count("hornbeam_requests_taken_back");
-        holdBack(dispatcher.quarantine().heldMillis(this::fingerprint).orElse(0));
+        rejectQuarantined(
+                dispatcher.quarantine().remainingMillis(this::fingerprint).orElse(0));
     }
 
-    private OptionalLong admission(Target target) {
-        return target.choice()
-                .map(c -> EngineAdmission.refuse(c, subject.route().limits().targetMillis(), timeLeft()))
+    private OptionalLong admissionRetryMillis(Target target) {
+        return target.engineChoice()
+                .map(c -> EngineAdmission.refuse(
+                        c, serviceRequest.route().limits().targetMillis(), timeLeftMillis()))
                 .orElse(OptionalLong.empty());
     }
 
-    SendOrder orderFor(Target target) {
-        int priority = subject.owner()
+    ForwardingOptions forwardingOptions(Target target) {
+        int priority = serviceRequest
+                .owner()
                 .map(KeyOwner::priority)
                 .orElse(OptionalInt.empty())
-                .orElse(subject.route().priority());
-        return new SendOrder(
+                .orElse(serviceRequest.route().priority());
+        return new ForwardingOptions(
                 target.replica().entry().id(),
-                subject.owner().map(KeyOwner::customer),
-                Math.max(1, timeLeft()),
+                serviceRequest.owner().map(KeyOwner::customer),
+                Math.max(1, timeLeftMillis()),
                 priority,
-                target.engine(),
-                progress.lastEvent());
+                target.engineOptions(),
+                progress.lastEventId());
     }
 
     /**
-     * A try ended without a whole answer.
+     * Handles the end of an attempt that did not produce a complete response.
      *
-     * @param end how
-     * @param why for the log
-     * @param failure the replica's own failure, if it gave one
+     * @param end how the attempt ended
+     * @param reason why it ended, for the log and the response to the caller
+     * @param failure the replica's error response, if it sent one
      */
-    void attemptEnded(AttemptEnd end, String why, Optional<BufferedAnswer> failure) {
+    void attemptEnded(AttemptEnd end, String reason, Optional<BufferedResponse> failure) {
         LiveReplica replica = attempt.target().replica();
         long sentAt = attempt.sentAt();
         attempt = null;
-        if (over) {
+        if (finished) {
             return;
         }
-        Forwarding.Means means = new Forwarding.Means(
-                timeLeft() >= MIN_TIME_LEFT_MILLIS,
-                dispatcher.picker().anyLeft(subject.service(), tried),
-                () -> dispatcher.takeRepeat(subject.service().name()));
-        witness(end, replica, sentAt);
-        NextStep step = forwarding.after(end, means);
+        Forwarding.Means retryOptions = new Forwarding.Means(
+                timeLeftMillis() >= MIN_TIME_LEFT_MILLIS,
+                dispatcher.targetSelector().hasUntried(serviceRequest.service(), tried),
+                () -> dispatcher.takeRetry(serviceRequest.service().name()));
+        reportLoss(end, replica, sentAt);
+        NextStep step = forwarding.after(end, retryOptions);
         dispatcher.metrics().count("hornbeam_attempts_failed", "end", end.name());
         logger.atInfo()
-                .with(Logs.REQUEST, subject.request().id())
+                .with(Logs.REQUEST, serviceRequest.callerRequest().id())
                 .with(Logs.REPLICA, replica.entry().id())
                 .with(Logs.DECISION, "attempt " + end)
-                .with(Logs.REASON, why)
-                .with(Logs.INPUTS, inputs(end) + " next=" + step)
+                .with(Logs.REASON, reason)
+                .with(Logs.INPUTS, logInputs(end) + " next=" + step)
                 .log("attempt ended: %s", end);
-        if (step instanceof NextStep.GiveUp end2) {
-            giveUp(end2.answer(), why, failure, RETRY_AFTER_MILLIS);
+        if (step instanceof NextStep.GiveUp giveUp) {
+            sendFinalAnswer(giveUp.answer(), reason, failure, RETRY_AFTER_MILLIS);
         } else {
-            tryNext();
+            startNextAttempt();
         }
     }
 
-    private void witness(AttemptEnd end, LiveReplica replica, long sentAt) {
+    private void reportLoss(AttemptEnd end, LiveReplica replica, long sentAt) {
         if (end == AttemptEnd.BROKEN) {
-            dispatcher.quarantine().broken(lostRun(sentAt), replica);
+            dispatcher.quarantine().connectionBroken(lostRun(sentAt), replica);
         } else if (end == AttemptEnd.SILENT) {
-            dispatcher.quarantine().silent(lostRun(sentAt), replica);
+            dispatcher.quarantine().replicaSilent(lostRun(sentAt), replica);
         }
     }
 
@@ -190,50 +214,51 @@
         return new LostRun(fingerprint(), sentAt, dispatcher.clock().monotonicMillis());
     }
 
-    private String inputs(AttemptEnd end) {
+    private String logInputs(AttemptEnd end) {
         String content = end.mayHaveRun() ? " content=" + fingerprint() : "";
-        return "millisLeft=" + timeLeft() + " tried=" + tried.size() + content;
+        return "millisLeft=" + timeLeftMillis() + " tried=" + tried.size() + content;
     }
 
-    /** Names the request by its content. Few requests need it, so it is computed at its first use. */
+    /** Returns the fingerprint of the request content, computed at first use since few requests need it. */
     private RequestFingerprint fingerprint() {
         if (fingerprint.isEmpty()) {
             fingerprint = Optional.of(RequestFingerprint.of(
-                    subject.request().whole().head().target(),
-                    subject.owner().map(KeyOwner::customer).orElse(""),
-                    subject.request().whole().body()));
+                    serviceRequest.callerRequest().message().head().target(),
+                    serviceRequest.owner().map(KeyOwner::customer).orElse(""),
+                    serviceRequest.callerRequest().message().body()));
         }
         return fingerprint.get();
     }
 
-    private void giveUp(FinalAnswer last, String why, Optional<BufferedAnswer> failure, long retryAfterMillis) {
-        finish(last.name());
-        if (last == FinalAnswer.BROKEN_OFF) {
-            answer.abort();
-        } else if (last == FinalAnswer.REPLICA_FAILURE && failure.isPresent()) {
-            failure.get().deliver(answer);
-        } else if (last == FinalAnswer.NOT_RUN) {
-            dispatcher.refuseUnrun(subject.request(), answer, why, retryAfterMillis);
+    private void sendFinalAnswer(
+            FinalAnswer finalAnswer, String reason, Optional<BufferedResponse> failure, long retryAfterMillis) {
+        finish(finalAnswer.name());
+        if (finalAnswer == FinalAnswer.BROKEN_OFF) {
+            response.abort();
+        } else if (finalAnswer == FinalAnswer.REPLICA_FAILURE && failure.isPresent()) {
+            failure.get().sendTo(response);
+        } else if (finalAnswer == FinalAnswer.NOT_RUN) {
+            dispatcher.rejectNotExecuted(serviceRequest.callerRequest(), response, reason, retryAfterMillis);
         } else {
-            dispatcher.answer(subject.request(), answer, statusOf(last), why, Headers.NONE);
+            dispatcher.respond(serviceRequest.callerRequest(), response, statusOf(finalAnswer), reason, Headers.NONE);
         }
     }
 
-    private static int statusOf(FinalAnswer last) {
-        return last.status() == 0 ? FinalAnswer.OUTCOME_UNKNOWN.status() : last.status();
+    private static int statusOf(FinalAnswer finalAnswer) {
+        return finalAnswer.status() == 0 ? FinalAnswer.OUTCOME_UNKNOWN.status() : finalAnswer.status();
     }
 
-    private void timeIsOver() {
-        if (over) {
+    private void deadlineExpired() {
+        if (finished) {
             return;
         }
-        FinalAnswer last = forwarding.atDeadline(attempt != null && attempt.wasSent());
+        FinalAnswer finalAnswer = forwarding.atDeadline(attempt != null && attempt.wasSent());
         stopAttempt();
-        giveUp(last, "its time is over", Optional.empty(), RETRY_AFTER_MILLIS);
+        sendFinalAnswer(finalAnswer, "its time is over", Optional.empty(), RETRY_AFTER_MILLIS);
     }
 
-    private void callerGone() {
-        if (!over) {
+    private void callerDisconnected() {
+        if (!finished) {
             stopAttempt();
             finish("CALLER_GONE");
         }
@@ -244,93 +269,98 @@
             if (attempt.isSilent()) {
                 dispatcher
                         .quarantine()
-                        .silent(lostRun(attempt.sentAt()), attempt.target().replica());
+                        .replicaSilent(
+                                lostRun(attempt.sentAt()), attempt.target().replica());
             }
-            attempt.abandon();
+            attempt.cancel();
             attempt = null;
         }
     }
 
-    /** The answer's first bytes go to the caller. */
-    void begin(ResponseHead head) {
+    /** Sends the response head to the caller, unless it was sent already. */
+    void beginResponse(ResponseHead head) {
         if (!forwarding.hasBegun()) {
             forwarding.answerBegan();
-            times.began(sinceArrival().toMillis());
-            answer.begin(head.status(), dispatcher.dialect().toCaller(head));
+            timings.recordFirst(elapsed().toMillis());
+            response.begin(head.status(), dispatcher.headerCodec().callerHeaders(head));
             dispatcher
                     .metrics()
                     .time(
                             "hornbeam_first_event",
-                            sinceArrival(),
+                            elapsed(),
                             "route",
-                            subject.route().name());
+                            serviceRequest.route().name());
         }
     }
 
-    /** Events go to the caller. */
-    void relayed() {
-        times.relayed(dispatcher.clock().monotonicMillis());
+    /** Records that events were relayed to the caller. */
+    void recordRelay() {
+        timings.recordEvents(dispatcher.clock().monotonicMillis());
     }
 
-    /** A replica ran the request to its end. Its own failure would not show that: it may fail before it begins. */
-    void completed() {
-        dispatcher.quarantine().completed(this::fingerprint);
+    /**
+     * Records that a replica ran the request to its end. An error response of the replica would not prove that, since
+     * it may fail before it starts.
+     */
+    void recordCompletion() {
+        dispatcher.quarantine().requestCompleted(this::fingerprint);
     }
 
-    void delivered(String how) {
+    void responseDelivered(String outcome) {
         attempt = null;
-        finish(how);
+        finish(outcome);
     }
 
-    private void finish(String how) {
-        over = true;
-        dispatcher.underWay().ended(this);
+    private void finish(String outcome) {
+        finished = true;
+        dispatcher.inFlight().remove(this);
         deadlineTimer.cancel();
         dispatcher
                 .metrics()
                 .time(
                         "hornbeam_requests",
-                        sinceArrival(),
+                        elapsed(),
                         "route",
-                        subject.route().name(),
+                        serviceRequest.route().name(),
                         "outcome",
-                        how);
+                        outcome);
         logger.atInfo()
-                .with(Logs.REQUEST, subject.request().id())
-                .with(Logs.DECISION, "ended " + how)
-                .with(Logs.INPUTS, course())
-                .log("request ended: %s", how);
+                .with(Logs.REQUEST, serviceRequest.callerRequest().id())
+                .with(Logs.DECISION, "ended " + outcome)
+                .with(Logs.INPUTS, summary())
+                .log("request ended: %s", outcome);
     }
 
-    /** What the request was and how it went, for the log. */
-    private String course() {
-        String tokens = subject.request()
+    /** Returns a summary of the request and its course, for the log. */
+    private String summary() {
+        String tokens = serviceRequest
+                .callerRequest()
                 .prompt()
                 .map(p ->
                         " tokens=" + p.sharedTokens() + "+" + (p.tokens() - p.sharedTokens()) + ">" + p.outputTokens())
                 .orElse("");
-        return "route=" + subject.route().name() + tokens + times + " millis="
-                + sinceArrival().toMillis() + " tried=" + tried;
+        return "route=" + serviceRequest.route().name() + tokens + timings + " millis="
+                + elapsed().toMillis() + " tried=" + tried;
     }
 
-    private Duration sinceArrival() {
+    private Duration elapsed() {
         return Duration.ofMillis(dispatcher.clock().monotonicMillis() - arrivedAt);
     }
 
-    boolean isOver() {
-        return over;
+    boolean isFinished() {
+        return finished;
     }
 
-    boolean streams() {
-        return subject.route().kind() == RequestKind.STREAM;
+    boolean isStreaming() {
+        return serviceRequest.route().kind() == RequestKind.STREAM;
     }
 
-    Subject subject() {
-        return subject;
+    ServiceRequest serviceRequest() {
+        return serviceRequest;
     }
 
-    CallerAnswer answer() {
-        return answer;
+    CallerResponse response() {
+        return response;
     }
 
     Dispatcher dispatcher() {
@@ -341,22 +371,28 @@
         return progress;
     }
 
-    /** Whether another replica may run the request after this try has been silent. */
-    boolean mayTryAgain() {
-        return subject.route().repeatable()
-                && forwarding.possibleRuns() + 1 < subject.route().limits().maxAttempts()
-                && dispatcher.picker().anyLeft(subject.service(), tried);
+    /** Returns whether another replica may run the request if this attempt stays silent. */
+    boolean canRetry() {
+        return serviceRequest.route().repeatable()
+                && forwarding.possibleRuns() + 1
+                        < serviceRequest.route().limits().maxAttempts()
+                && dispatcher.targetSelector().hasUntried(serviceRequest.service(), tried);
     }
 
-    /** Whether the request could be sent to another replica at this moment. */
-    boolean canMove() {
-        return mayTryAgain()
-                && timeLeft() >= MIN_TIME_LEFT_MILLIS
-                && dispatcher.quarantine().heldMillis(this::fingerprint).isEmpty()
-                && dispatcher.mayRepeat(subject.service().name())
+    /** Returns whether the request could be sent to another replica at this moment. */
+    boolean canRetryNow() {
+        return canRetry()
+                && timeLeftMillis() >= MIN_TIME_LEFT_MILLIS
+                && dispatcher.quarantine().remainingMillis(this::fingerprint).isEmpty()
+                && dispatcher.canRetry(serviceRequest.service().name())
                 && dispatcher
-                        .picker()
-                        .pick(subject.config(), subject.service(), subject.request(), subject.owner(), tried)
+                        .targetSelector()
+                        .select(
+                                serviceRequest.config(),
+                                serviceRequest.service(),
+                                serviceRequest.callerRequest(),
+                                serviceRequest.owner(),
+                                tried)
                         .isPresent();
     }
 }
--- /dev/null
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/HeaderCodec.java
@@ -0,0 +1,43 @@
+package org.hornbeamhead.gateway.dispatch;
+
+import org.hornbeamhead.core.http.Headers;
+import org.hornbeamhead.core.http.ResponseHead;
+import org.hornbeamhead.core.http.WholeRequest;
+
+/** Decodes and encodes the HTTP headers exchanged with callers and replicas. */
+public interface HeaderCodec {
+    /**
+     * Decodes a caller's request.
+     *
+     * @param request the HTTP request as received
+     * @return the decoded request
+     */
+    CallerRequest decodeRequest(WholeRequest request);
+
+    /**
+     * Returns the headers sent to a replica: the caller's headers without those that only the router may set, and the
+     * router's own.
+     *
+     * @param request the caller's request
+     * @param options the values that the router adds
+     * @return the headers, without content length and connection headers
+     */
+    Headers replicaHeaders(CallerRequest request, ForwardingOptions options);
+
+    /**
+     * Decodes the head of a replica's response.
+     *
+     * @param head the response head
+     * @param replica the run of the replica that the request was addressed to
+     * @return the decoded information
+     */
+    ReplicaResponseInfo decodeResponse(ResponseHead head, String replica);
+
+    /**
+     * Returns the headers sent to the caller.
+     *
+     * @param head the head of the replica's response
+     * @return the headers, without content length and connection headers
+     */
+    Headers callerHeaders(ResponseHead head);
+}
--- /dev/null
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/InFlightRequests.java
@@ -0,0 +1,31 @@
+package org.hornbeamhead.gateway.dispatch;
+
+import java.util.LinkedHashSet;
+import java.util.Set;
+import org.hornbeamhead.core.crash.RequestFingerprint;
+
+/**
+ * The requests in flight on this router.
+ *
+ * <p>When a request is quarantined because it crashes replicas, copies of it may already be queued at other replicas.
+ * Each copy would crash one more replica as soon as it starts, even though no router sends the request any more. Copies
+ * for which no response bytes have arrived are therefore cancelled.
+ *
+ * <p>Not thread-safe.
+ */
+final class InFlightRequests {
+    private final Set<Exchange> exchanges = new LinkedHashSet<>();
+
+    void add(Exchange exchange) {
+        exchanges.add(exchange);
+    }
+
+    void remove(Exchange exchange) {
+        exchanges.remove(exchange);
+    }
+
+    /** Cancels all attempts with quarantined content that a replica has not started to process. */
+    void cancelQuarantined(RequestFingerprint fingerprint) {
+        exchanges.stream().filter(e -> e.isAwaitingStart(fingerprint)).toList().forEach(Exchange::cancelQuarantined);
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/ReplicaResponseInfo.java
@@ -0,0 +1,19 @@
+package org.hornbeamhead.gateway.dispatch;
+
+import java.util.OptionalLong;
+
+/**
+ * Routing information from the head of a replica's response.
+ *
+ * @param requestId the id of the request that the response belongs to; empty when not stated
+ * @param fromReplica whether the head carries the stamp that only replicas write
+ * @param notExecuted whether the replica states that it did not execute the request
+ * @param wrongReplica whether the response came from another replica run than the one addressed
+ * @param weightsVersion the version of the weights that produced the response
+ */
+public record ReplicaResponseInfo(
+        String requestId,
+        boolean fromReplica,
+        boolean notExecuted,
+        boolean wrongReplica,
+        OptionalLong weightsVersion) {}
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/RequestMessage.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/RequestMessage.java
@@ -7,33 +7,33 @@
 import org.hornbeamhead.core.http.RequestHead;
 import org.hornbeamhead.core.http.WholeRequest;
 
-/** The bytes of a request as a replica gets it: method, target and body as the caller sent them, with one length. */
+/** Encodes requests for replicas: the method, target and body of the caller, with exactly one content length. */
 final class RequestMessage {
-    private static final int USUAL_HEAD_BYTES = 512;
+    private static final int INITIAL_HEAD_BYTES = 512;
 
     private RequestMessage() {}
 
     /**
-     * Writes a request.
+     * Encodes a request.
      *
      * @param request the caller's request
-     * @param headers the header lines for the replica, without length and connection
-     * @return the bytes
+     * @param headers the headers for the replica, without content length and connection headers
+     * @return the encoded request
      */
-    static byte[] of(WholeRequest request, Headers headers) {
-        RequestHead from = request.head();
+    static byte[] encode(WholeRequest request, Headers headers) {
+        RequestHead head = request.head();
         byte[] body = request.body();
-        StringBuilder text = new StringBuilder(USUAL_HEAD_BYTES);
-        text.append(from.method()).append(' ').append(from.target()).append(" HTTP/1.1\r\n");
-        for (Header h : headers.lines()) {
-            text.append(h.name()).append(": ").append(h.value()).append("\r\n");
+        StringBuilder text = new StringBuilder(INITIAL_HEAD_BYTES);
+        text.append(head.method()).append(' ').append(head.target()).append(" HTTP/1.1\r\n");
+        for (Header header : headers.lines()) {
+            text.append(header.name()).append(": ").append(header.value()).append("\r\n");
         }
-        boolean bodiless = body.length == 0
-                && (from.method().equals("GET") || from.method().equals("HEAD"));
-        text.append(bodiless ? "\r\n" : "Content-Length: " + body.length + "\r\n\r\n");
-        ByteArrayOutputStream all = new ByteArrayOutputStream(text.length() + body.length);
-        all.writeBytes(text.toString().getBytes(StandardCharsets.ISO_8859_1));
-        all.writeBytes(body);
-        return all.toByteArray();
+        boolean omitLength = body.length == 0
+                && (head.method().equals("GET") || head.method().equals("HEAD"));
+        text.append(omitLength ? "\r\n" : "Content-Length: " + body.length + "\r\n\r\n");
+        ByteArrayOutputStream encoded = new ByteArrayOutputStream(text.length() + body.length);
+        encoded.writeBytes(text.toString().getBytes(StandardCharsets.ISO_8859_1));
+        encoded.writeBytes(body);
+        return encoded.toByteArray();
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/StreamProgress.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/StreamProgress.java
@@ -2,25 +2,25 @@
 
 import java.util.OptionalLong;
 
-/** How far a stream has come to the caller. */
+/** The id of the last event of a stream that was relayed to the caller. */
 final class StreamProgress {
-    private OptionalLong last;
+    private OptionalLong lastId;
 
-    StreamProgress(OptionalLong asked) {
-        this.last = asked;
+    StreamProgress(OptionalLong resumeAfter) {
+        this.lastId = resumeAfter;
     }
 
-    OptionalLong lastEvent() {
-        return last;
+    OptionalLong lastEventId() {
+        return lastId;
     }
 
-    /** Tells whether an event is new, and notes it. */
+    /** Records an event and returns whether it is new. Events without an id always count as new. */
     boolean advance(OptionalLong id) {
-        if (id.isPresent() && last.isPresent() && id.getAsLong() <= last.getAsLong()) {
+        if (id.isPresent() && lastId.isPresent() && id.getAsLong() <= lastId.getAsLong()) {
             return false;
         }
         if (id.isPresent()) {
-            last = id;
+            lastId = id;
         }
         return true;
     }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/StreamTimes.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/StreamTimings.java
@@ -1,18 +1,18 @@
 package org.hornbeamhead.gateway.dispatch;
 
-/** When the events of one request went to its caller, for the log. */
-final class StreamTimes {
+/** Timings of the events relayed to one caller, for the log. */
+final class StreamTimings {
     private long firstMillis = -1;
     private long lastAt = -1;
     private long longestPauseMillis;
 
-    /** The answer's first bytes go to the caller, so long after the request came. */
-    void began(long millis) {
+    /** Records the time from the arrival of the request to the first bytes sent to the caller. */
+    void recordFirst(long millis) {
         firstMillis = millis;
     }
 
-    /** Events go to the caller: notes how long it waited for them since those before. */
-    void relayed(long nowMillis) {
+    /** Records that events were relayed, and updates the longest pause between events. */
+    void recordEvents(long nowMillis) {
         if (lastAt >= 0) {
             longestPauseMillis = Math.max(longestPauseMillis, nowMillis - lastAt);
         }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Target.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Target.java
@@ -5,23 +5,29 @@
 import org.hornbeamhead.gateway.replica.LiveReplica;
 
 /**
- * Where one try goes.
+ * The replica selected for an attempt.
  *
  * @param replica the replica
- * @param engine what an engine is told; empty for a plain service
- * @param choice how an engine was chosen; empty for a plain service
- * @param why why it was chosen, for the log
+ * @param engineOptions options for an engine; empty for a plain service
+ * @param engineChoice how the engine was chosen; empty for a plain service
+ * @param reason why the replica was selected, for the log
  */
-record Target(LiveReplica replica, Optional<SendOrder.EngineOrder> engine, Optional<EngineChoice> choice, String why) {
-    /** The predicted time to the first event, in milliseconds; 0 when not predicted. */
+record Target(
+        LiveReplica replica,
+        Optional<ForwardingOptions.EngineOptions> engineOptions,
+        Optional<EngineChoice> engineChoice,
+        String reason) {
+    /** Returns the predicted time to the first event, in milliseconds, or 0 if there is no prediction. */
     double predictedMillis() {
-        return choice.map(EngineChoice::predictedMillis).orElse(0.0);
+        return engineChoice.map(EngineChoice::predictedMillis).orElse(0.0);
     }
 
+    /** Returns a description for error responses to callers; its format is part of the interface. */
     @Override
     public String toString() {
-        return replica.entry().id() + " " + why
-                + choice.map(c -> " waitMillis=" + Math.round(c.waitMillis()) + " predictedMillis="
+        return replica.entry().id() + " " + reason
+                + engineChoice
+                        .map(c -> " waitMillis=" + Math.round(c.waitMillis()) + " predictedMillis="
                                 + Math.round(c.predictedMillis()))
                         .orElse("");
     }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/TargetPicker.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/TargetSelector.java
@@ -20,72 +20,73 @@
 import org.hornbeamhead.gateway.replica.ReplicaRegistry;
 import org.hornbeamhead.gateway.state.WeightsView;
 
-/** Picks the replica for a try: the decisions are the chooser's, this gathers what they need. */
-final class TargetPicker {
+/** Selects the replica for an attempt. Engines are chosen by the engine chooser; this class collects its inputs. */
+final class TargetSelector {
     private final Clock clock;
     private final ReplicaRegistry registry;
     private final WeightsView weights;
     private final String dataCentre;
-    private final boolean inherits;
+    private final boolean priorTraffic;
     private final Map<String, EngineChooser> choosers = new HashMap<>();
 
-    TargetPicker(Clock clock, ReplicaRegistry registry, WeightsView weights, String dataCentre, boolean inherits) {
+    TargetSelector(
+            Clock clock, ReplicaRegistry registry, WeightsView weights, String dataCentre, boolean priorTraffic) {
         this.clock = clock;
         this.registry = registry;
         this.weights = weights;
         this.dataCentre = dataCentre;
-        this.inherits = inherits;
+        this.priorTraffic = priorTraffic;
     }
 
-    Optional<Target> pick(
+    Optional<Target> select(
             RoutingConfig config,
             ServiceSpec service,
             CallerRequest request,
             Optional<KeyOwner> owner,
             Set<String> tried) {
-        List<LiveReplica> usable = usable(service, tried);
+        List<LiveReplica> replicas = usableReplicas(service, tried);
         return service.engine().isPresent() && request.prompt().isPresent()
-                ? engine(config, service, request.prompt().get(), owner, usable)
-                : plain(usable);
+                ? selectEngine(config, service, request.prompt().get(), owner, replicas)
+                : selectLeastLoaded(replicas);
     }
 
-    boolean anyLeft(ServiceSpec service, Set<String> tried) {
+    boolean hasUntried(ServiceSpec service, Set<String> tried) {
         return registry.of(service.name()).stream()
                 .anyMatch(r -> !tried.contains(r.entry().run()));
     }
 
-    /** Replicas that failed lately are left out, unless that would leave none. */
-    private List<LiveReplica> usable(ServiceSpec service, Set<String> tried) {
+    /** Returns the replicas that were not tried yet, without recently failed ones unless no others are left. */
+    private List<LiveReplica> usableReplicas(ServiceSpec service, Set<String> tried) {
         long now = clock.monotonicMillis();
-        List<LiveReplica> all = registry.of(service.name()).stream()
+        List<LiveReplica> untried = registry.of(service.name()).stream()
                 .filter(r -> !tried.contains(r.entry().run()))
                 .toList();
-        List<LiveReplica> sound =
-                all.stream().filter(r -> !r.guard().ejected(now)).toList();
-        return sound.isEmpty() ? all : sound;
+        List<LiveReplica> healthy =
+                untried.stream().filter(r -> !r.guard().ejected(now)).toList();
+        return healthy.isEmpty() ? untried : healthy;
     }
 
-    private Optional<Target> plain(List<LiveReplica> usable) {
+    private Optional<Target> selectLeastLoaded(List<LiveReplica> replicas) {
         long now = clock.monotonicMillis();
-        return usable.stream()
+        return replicas.stream()
                 .min(Comparator.comparingInt((LiveReplica r) -> r.load().total(now))
                         .thenComparing(r -> !r.entry().dataCentre().equals(dataCentre))
                         .thenComparingInt(r -> r.connections().open()))
                 .map(r -> new Target(r, Optional.empty(), Optional.empty(), "least load"));
     }
 
-    private Optional<Target> engine(
+    private Optional<Target> selectEngine(
             RoutingConfig config,
             ServiceSpec service,
             Prompt prompt,
             Optional<KeyOwner> owner,
-            List<LiveReplica> usable) {
+            List<LiveReplica> replicas) {
         long now = clock.monotonicMillis();
-        Map<String, LiveReplica> byId = new HashMap<>();
-        usable.forEach(r -> byId.put(r.entry().run(), r));
+        Map<String, LiveReplica> replicasByRun = new HashMap<>();
+        replicas.forEach(r -> replicasByRun.put(r.entry().run(), r));
         EngineSpec spec = service.engine().orElseThrow();
         CacheLinks links = links(spec, config);
-        List<EngineCandidate> candidates = usable.stream()
+        List<EngineCandidate> candidates = replicas.stream()
                 .map(r -> new EngineCandidate(
                         r.entry().run(),
                         r.entry().dataCentre(),
@@ -98,11 +99,16 @@
                         weights.usableMillis(prompt.model(), r.weights(prompt.model()), now),
                         weights.steered(r.entry().run(), now)))
                 .toList();
-        String wall = owner.filter(KeyOwner::isolated).map(KeyOwner::customer).orElse("");
+        String isolatedCustomer =
+                owner.filter(KeyOwner::isolated).map(KeyOwner::customer).orElse("");
         return chooser(service.name())
-                .choose(prompt, c -> salt(prompt, wall, c.weights()).hashCode(), candidates, links, now)
-                .map(choice -> target(
-                        links, prompt, wall, choice, byId.get(choice.engine().id())));
+                .choose(prompt, c -> salt(prompt, isolatedCustomer, c.weights()).hashCode(), candidates, links, now)
+                .map(choice -> toTarget(
+                        links,
+                        prompt,
+                        isolatedCustomer,
+                        choice,
+                        replicasByRun.get(choice.engine().id())));
     }
 
     private static CacheLinks links(EngineSpec engine, RoutingConfig config) {
@@ -117,11 +123,11 @@
     }
 
     private EngineChooser chooser(String service) {
-        return choosers.computeIfAbsent(service, s -> new EngineChooser(inherits));
+        return choosers.computeIfAbsent(service, s -> new EngineChooser(priorTraffic));
     }
 
-    /** A request went to an engine: of this router, or as another router tells. */
-    void sent(RoutingConfig config, LiveReplica replica, long beginning, double storeMillis) {
+    /** Records a request that this router, or another router, sent to an engine. */
+    void recordSent(RoutingConfig config, LiveReplica replica, long beginning, double storeMillis) {
         long now = clock.monotonicMillis();
         String service = replica.entry().service();
         config.service(service)
@@ -137,29 +143,33 @@
                                 now));
     }
 
-    /** An engine did not take a request of this router. */
-    void refused(LiveReplica replica, EngineChoice choice) {
+    /** Records that an engine did not take a request of this router. */
+    void recordRefused(LiveReplica replica, EngineChoice choice) {
         chooser(replica.entry().service())
                 .refused(choice.beginning(), replica.entry().run());
     }
 
-    /** Parts that were read for other weights, or for an isolated customer, are never found under this text. */
-    private static String salt(Prompt prompt, String wall, long version) {
-        return prompt.model() + '.' + version + (wall.isEmpty() ? "" : '.' + wall);
+    /**
+     * Returns the cache salt. Prompt parts that were processed with other weights, or for an isolated customer, are
+     * never found under it.
+     */
+    private static String salt(Prompt prompt, String isolatedCustomer, long version) {
+        return prompt.model() + '.' + version + (isolatedCustomer.isEmpty() ? "" : '.' + isolatedCustomer);
     }
 
-    private Target target(CacheLinks links, Prompt prompt, String wall, EngineChoice choice, LiveReplica replica) {
+    private Target toTarget(
+            CacheLinks links, Prompt prompt, String isolatedCustomer, EngineChoice choice, LiveReplica replica) {
         long version = choice.engine().weights();
-        String salt = salt(prompt, wall, version);
+        String salt = salt(prompt, isolatedCustomer, version);
         Optional<String> store = links.store(choice.beginning()).map(CacheLinks.Store::address);
-        Optional<String> from =
+        Optional<String> source =
                 choice.fetchFrom().flatMap(registry::get).map(r -> r.entry().address());
         return new Target(
                 replica,
-                Optional.of(new SendOrder.EngineOrder(
+                Optional.of(new ForwardingOptions.EngineOptions(
                         salt,
                         version,
-                        from.or(() -> store.filter(s -> choice.askStore())),
+                        source.or(() -> store.filter(s -> choice.askStore())),
                         store.filter(s -> choice.save()))),
                 Optional.of(choice),
                 choice.why());
--- /dev/null
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/quarantine/CrashDetector.java
@@ -0,0 +1,175 @@
+package org.hornbeamhead.gateway.quarantine;
+
+import com.google.common.flogger.FluentLogger;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.function.BiConsumer;
+import org.hornbeamhead.core.crash.LostRun;
+import org.hornbeamhead.core.crash.RequestFingerprint;
+import org.hornbeamhead.core.time.Clock;
+import org.hornbeamhead.core.time.Timers;
+import org.hornbeamhead.daemon.Logs;
+import org.hornbeamhead.gateway.replica.LiveReplica;
+
+/**
+ * Detects which requests were running at a replica when its process ended.
+ *
+ * <p>A connection can break although the replica keeps running, because its response was invalid or something on the
+ * network path reset the connection. The process has ended if its host refuses a new connection, or if its registry
+ * entry is removed soon afterwards. Losses at a replica that announced its shutdown are not counted against requests,
+ * and neither are losses at a replica whose whole host is silent: the failure of a host is not caused by its requests.
+ *
+ * <p>Not thread-safe.
+ */
+public final class CrashDetector {
+    private static final FluentLogger logger = FluentLogger.forEnclosingClass();
+    /** Delay before the second check; a dying process may close its connections a moment before its listener. */
+    static final long SECOND_CHECK_DELAY_MILLIS = 50;
+    /** How long lost requests are remembered; the registry removes a silent replica after three heartbeats. */
+    private static final long RETENTION_MILLIS = 5_000;
+    /** The shortest time between two checks of a silent replica; each check opens one new connection. */
+    private static final long SILENT_CHECK_INTERVAL_MILLIS = 1_000;
+    /** The number of replicas for which lost requests are remembered; bounds the memory. */
+    private static final int MAX_REPLICAS = 512;
+    /** The number of lost requests remembered per replica; more than its slots and its queue hold. */
+    private static final int MAX_REQUESTS = 256;
+
+    private final Clock clock;
+    private final Timers timers;
+    private final BiConsumer<LostRun, LiveReplica> onCrash;
+    private final Map<String, LostRequests> lostByReplica = new HashMap<>();
+
+    /** Requests lost at one run of a replica. */
+    private static final class LostRequests {
+        private final Map<RequestFingerprint, LostRun> broken = new HashMap<>();
+        private final Map<RequestFingerprint, LostRun> silent = new HashMap<>();
+        private long lastLossAt;
+        private long lastSilentCheckAt = Long.MIN_VALUE / 2;
+        private boolean checking;
+        private boolean recheckNeeded;
+        private boolean crashed;
+    }
+
+    /**
+     * Creates a detector without recorded losses.
+     *
+     * @param clock the clock
+     * @param timers the timers of the current thread
+     * @param onCrash receives each request run that was lost in a crash, and the replica
+     */
+    public CrashDetector(Clock clock, Timers timers, BiConsumer<LostRun, LiveReplica> onCrash) {
+        this.clock = clock;
+        this.timers = timers;
+        this.onCrash = onCrash;
+    }
+
+    /**
+     * Records that the connection of a request broke.
+     *
+     * @param run the lost run
+     * @param replica the replica that ran it
+     */
+    public void connectionBroken(LostRun run, LiveReplica replica) {
+        if (replica.entry().draining()) {
+            return;
+        }
+        LostRequests lost = lostRequests(replica);
+        if (lost.crashed) {
+            onCrash.accept(run, replica);
+        } else if (lost.broken.size() < MAX_REQUESTS) {
+            lost.broken.putIfAbsent(run.request(), run);
+            lost.recheckNeeded = true;
+            if (!lost.checking) {
+                checkTwice(replica, lost);
+            }
+        }
+    }
+
+    /** Checks twice whether the process has ended. Requests that are lost meanwhile are checked together afterwards. */
+    private void checkTwice(LiveReplica replica, LostRequests lost) {
+        lost.checking = true;
+        lost.recheckNeeded = false;
+        checkProcess(
+                replica,
+                lost,
+                () -> timers.schedule(
+                        SECOND_CHECK_DELAY_MILLIS,
+                        () -> checkProcess(replica, lost, () -> {
+                            lost.checking = false;
+                            if (lost.recheckNeeded) {
+                                checkTwice(replica, lost);
+                            }
+                        })));
+    }
+
+    /**
+     * Records that a request was abandoned while its replica was silent; the process may have ended without a sign.
+     *
+     * @param run the lost run
+     * @param replica the replica that ran it
+     */
+    public void replicaSilent(LostRun run, LiveReplica replica) {
+        if (replica.entry().draining()) {
+            return;
+        }
+        LostRequests lost = lostRequests(replica);
+        if (lost.crashed) {
+            onCrash.accept(run, replica);
+        } else if (lost.silent.size() < MAX_REQUESTS) {
+            lost.silent.putIfAbsent(run.request(), run);
+            if (lost.lastLossAt - lost.lastSilentCheckAt >= SILENT_CHECK_INTERVAL_MILLIS) {
+                lost.lastSilentCheckAt = lost.lastLossAt;
+                checkProcess(replica, lost, lost.silent::clear);
+            }
+        }
+    }
+
+    private LostRequests lostRequests(LiveReplica replica) {
+        long now = clock.monotonicMillis();
+        lostByReplica.values().removeIf(lost -> now - lost.lastLossAt > RETENTION_MILLIS);
+        LostRequests lost = lostByReplica.getOrDefault(replica.entry().run(), new LostRequests());
+        if (lostByReplica.size() < MAX_REPLICAS) {
+            lostByReplica.put(replica.entry().run(), lost);
+        }
+        lost.lastLossAt = now;
+        return lost;
+    }
+
+    private void checkProcess(LiveReplica replica, LostRequests lost, Runnable onAlive) {
+        replica.connections().refused().whenResult(refused -> {
+            if (refused) {
+                lost.silent.forEach(lost.broken::putIfAbsent);
+                reportCrash(replica, lost, "the host refuses connections");
+            } else {
+                onAlive.run();
+            }
+        });
+    }
+
+    /**
+     * Records that the registry entry of a replica was removed.
+     *
+     * @param replica the replica
+     */
+    public void entryRemoved(LiveReplica replica) {
+        LostRequests lost = lostByReplica.get(replica.entry().run());
+        if (lost != null && clock.monotonicMillis() - lost.lastLossAt <= RETENTION_MILLIS) {
+            reportCrash(replica, lost, "the registry entry was removed");
+        }
+    }
+
+    private void reportCrash(LiveReplica replica, LostRequests lost, String reason) {
+        if (lost.crashed || replica.entry().draining()) {
+            return;
+        }
+        lost.crashed = true;
+        logger.atInfo()
+                .with(Logs.DECISION, "replica ended")
+                .with(Logs.REPLICA, replica.entry().id())
+                .with(Logs.REASON, reason)
+                .with(Logs.INPUTS, "requestsUnderWay=" + lost.broken.keySet())
+                .log("replica process ended: %s", replica.entry().id());
+        lost.broken.values().forEach(run -> onCrash.accept(run, replica));
+        lost.broken.clear();
+    }
+}
--- a/gateway/src/main/java/org/hornbeamhead/gateway/quarantine/Quarantine.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/quarantine/Quarantine.java
@@ -23,8 +23,8 @@
 import org.hornbeamhead.gateway.state.PlatformStore;
 
 /**
- * Which requests may not run, since replicas ended under them. While no replica has ended lately, no request's content
- * is looked at.
+ * Quarantines requests that crash replicas, identified by their content. Request content is not fingerprinted while no
+ * replica has crashed recently.
  */
 public final class Quarantine {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -32,23 +32,23 @@
     private final CrashHistory history;
     private final CrashGossip gossip;
     private final CrashArchive archive;
-    private final CrashWitness witness;
-    private final Parts parts;
-    private Consumer<RequestFingerprint> onHeld = r -> {};
+    private final CrashDetector detector;
+    private final Dependencies dependencies;
+    private Consumer<RequestFingerprint> onQuarantined = fingerprint -> {};
 
     /**
-     * What a quarantine works with.
+     * The dependencies of a quarantine.
      *
      * @param clock the clock
-     * @param timers the thread's timers
+     * @param timers the timers of the current thread
      * @param random the source of randomness
      * @param store the platform's store
      * @param registry the replicas
-     * @param datagrams the socket that routers share
+     * @param datagrams the socket for datagrams between routers
      * @param audience the other routers
-     * @param metrics the process's metrics
+     * @param metrics the metrics of the process
      */
-    public record Parts(
+    public record Dependencies(
             Clock clock,
             Timers timers,
             Random random,
@@ -59,70 +59,78 @@
             Metrics metrics) {}
 
     /**
-     * Makes a quarantine that holds nothing back.
+     * Creates a quarantine without requests.
      *
-     * @param parts what it works with
+     * @param dependencies the dependencies
      */
-    public Quarantine(Parts parts) {
-        this.parts = parts;
-        history = new CrashHistory(parts.clock());
+    public Quarantine(Dependencies dependencies) {
+        this.dependencies = dependencies;
+        history = new CrashHistory(dependencies.clock());
         gossip = new CrashGossip(
-                history, parts.clock(), parts.timers(), parts.random(), parts.audience(), parts.datagrams()::send);
-        archive = new CrashArchive(parts.clock(), parts.timers(), parts.random(), this::write, history);
-        witness = new CrashWitness(parts.clock(), parts.timers(), this::crashed);
+                history,
+                dependencies.clock(),
+                dependencies.timers(),
+                dependencies.random(),
+                dependencies.audience(),
+                dependencies.datagrams()::send);
+        archive = new CrashArchive(
+                dependencies.clock(), dependencies.timers(), dependencies.random(), this::writeArchive, history);
+        detector = new CrashDetector(dependencies.clock(), dependencies.timers(), this::recordCrash);
     }
 
-    /** Starts to see replicas go, and to hear of what other routers saw. */
+    /** Starts to follow the removal of replicas and the crash reports of other routers. */
     public void start() {
-        history.listen(this::changed);
-        parts.registry().onGone(witness::gone);
-        parts.datagrams().listen((from, bytes) -> gossip.receive(bytes));
-        parts.metrics().gauge("hornbeam_requests_held_back", history::held);
+        history.listen(this::historyChanged);
+        dependencies.registry().onGone(detector::entryRemoved);
+        dependencies.datagrams().listen((from, bytes) -> gossip.receive(bytes));
+        dependencies.metrics().gauge("hornbeam_requests_held_back", history::held);
     }
 
     /**
-     * Tells of each request that is held back from now on, and again whenever more is known of it.
+     * Registers a listener for quarantined requests. It is called for each newly quarantined request, and again
+     * whenever more is known about it.
      *
-     * @param listener takes the request
+     * @param listener receives the fingerprint of the request
      */
-    public void onHeld(Consumer<RequestFingerprint> listener) {
-        onHeld = listener;
+    public void onQuarantined(Consumer<RequestFingerprint> listener) {
+        onQuarantined = listener;
     }
 
-    private void changed(RequestFingerprint request) {
-        gossip.changed(request);
-        if (history.heldMillis(request).isPresent()) {
-            onHeld.accept(request);
+    private void historyChanged(RequestFingerprint fingerprint) {
+        gossip.changed(fingerprint);
+        if (history.heldMillis(fingerprint).isPresent()) {
+            onQuarantined.accept(fingerprint);
         }
     }
 
-    private void crashed(LostRun run, LiveReplica replica) {
-        parts.metrics().count("hornbeam_requests_at_crash");
+    private void recordCrash(LostRun run, LiveReplica replica) {
+        dependencies.metrics().count("hornbeam_requests_at_crash");
         history.crashed(run, replica.hash());
         archive.crashSeen();
     }
 
     /**
-     * Takes over what routers have kept in the store.
+     * Reads the crash reports that routers have archived in the store.
      *
-     * @param item the key {@link CrashArchive#KEY}
+     * @param item the item under {@link CrashArchive#KEY}
      */
-    public void read(StoreItem item) {
+    public void readArchive(StoreItem item) {
         if (!archive.read(item.revision(), item.value())) {
             logger.atWarning()
                     .with(Logs.INPUTS, "revision=" + item.revision())
-                    .log("key %s cannot be read and is passed over", item.key());
+                    .log("key %s cannot be decoded and is ignored", item.key());
         }
     }
 
-    private CompletionStage<CrashArchive.Reply> write(long expectedRevision, String value) {
-        return parts.store()
+    private CompletionStage<CrashArchive.Reply> writeArchive(long expectedRevision, String value) {
+        return dependencies
+                .store()
                 .write(CrashArchive.KEY, OptionalLong.of(expectedRevision), value, Optional.empty())
-                .map(Quarantine::reply)
+                .map(Quarantine::toArchiveReply)
                 .toCompletableFuture();
     }
 
-    private static CrashArchive.Reply reply(PlatformStore.WriteReply reply) {
+    private static CrashArchive.Reply toArchiveReply(PlatformStore.WriteReply reply) {
         if (reply instanceof PlatformStore.WriteReply.Written written) {
             return new CrashArchive.Reply.Written(written.revision());
         }
@@ -135,41 +143,41 @@
     }
 
     /**
-     * Decides whether a request is held back.
+     * Returns how long a request remains quarantined.
      *
-     * @param request names the request
-     * @return how long it is held back from now on, in milliseconds; empty when it may run
+     * @param fingerprint computes the fingerprint of the request
+     * @return the remaining time, in milliseconds; empty when the request may run
      */
-    public OptionalLong heldMillis(Supplier<RequestFingerprint> request) {
-        return history.heldMillis(request);
+    public OptionalLong remainingMillis(Supplier<RequestFingerprint> fingerprint) {
+        return history.heldMillis(fingerprint);
     }
 
     /**
-     * Notes that a request ran to its end.
+     * Records that a request ran to its end.
      *
-     * @param request names the request
+     * @param fingerprint computes the fingerprint of the request
      */
-    public void completed(Supplier<RequestFingerprint> request) {
-        history.completed(request);
+    public void requestCompleted(Supplier<RequestFingerprint> fingerprint) {
+        history.completed(fingerprint);
     }
 
     /**
-     * Notes that the connection of a request broke.
+     * Records that the connection of a request broke.
      *
-     * @param run the run of the request
-     * @param replica where it was under way
+     * @param run the lost run
+     * @param replica the replica that ran it
      */
-    public void broken(LostRun run, LiveReplica replica) {
-        witness.broken(run, replica);
+    public void connectionBroken(LostRun run, LiveReplica replica) {
+        detector.connectionBroken(run, replica);
     }
 
     /**
-     * Notes that a request was given up while its replica was silent.
+     * Records that a request was abandoned while its replica was silent.
      *
-     * @param run the run of the request
-     * @param replica where it was under way
+     * @param run the lost run
+     * @param replica the replica that ran it
      */
-    public void silent(LostRun run, LiveReplica replica) {
-        witness.silent(run, replica);
+    public void replicaSilent(LostRun run, LiveReplica replica) {
+        detector.replicaSilent(run, replica);
     }
 }
--- a/gateway/src/test/java/org/hornbeamhead/gateway/quarantine/CrashWitnessTest.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/quarantine/CrashDetectorTest.java
@@ -20,8 +20,8 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Which lost requests count as under way at a replica that ended. */
-public class CrashWitnessTest {
+/** Tests which lost requests are reported as running at a crashed replica. */
+public class CrashDetectorTest {
     private static final LostRun RUN = new LostRun(new RequestFingerprint(1), 0, 60);
     private static final String REPLICA = "r";
     private static final int CHECK_ROUNDS = 6;
@@ -35,28 +35,28 @@
     private Eventloop reactor;
     private ReplicaRegistry registry;
     private ServerSocket server;
-    private CrashWitness witness;
+    private CrashDetector detector;
     private List<LostRun> reported;
 
-    /** Starts a replica that listens. */
+    /** Starts a replica that listens on a local port. */
     @BeforeMethod
-    public void begin() throws IOException {
+    public void startReplica() throws IOException {
         reactor = Eventloop.builder().withCurrentThread().build();
         registry = new ReplicaRegistry(reactor, clock);
         server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
         reported = new ArrayList<>();
-        witness = new CrashWitness(clock, this::checkLater, (run, replica) -> reported.add(run));
-        registry.onGone(witness::gone);
-        list(false);
+        detector = new CrashDetector(clock, this::schedule, (run, replica) -> reported.add(run));
+        registry.onGone(detector::entryRemoved);
+        register(false);
     }
 
-    /** Ends the replica. */
+    /** Stops the replica. */
     @AfterMethod
-    public void end() throws IOException {
+    public void stopReplica() throws IOException {
         server.close();
     }
 
-    private void list(boolean draining) {
+    private void register(boolean draining) {
         String address = "127.0.0.1:" + server.getLocalPort();
         registry.put(new ReplicaEntry(REPLICA, 1, "s", address, "z", draining, 8, Map.of()), 1);
     }
@@ -65,30 +65,34 @@
         return registry.all().iterator().next();
     }
 
-    private void checkLater(long delayMillis, Runnable check) {
+    private void schedule(long delayMillis, Runnable check) {
         reactor.delay(delayMillis, () -> check.run());
     }
 
     @DataProvider
     public Object[][] losses() {
         return new Object[][] {
-            {"broken, and the process has ended", Lost.BROKEN, true, false, false, 1},
-            {"broken, and the process goes on", Lost.BROKEN, false, false, false, 0},
-            {"broken, and the entry goes", Lost.BROKEN, false, false, true, 1},
-            {"broken at a replica that leaves", Lost.BROKEN, true, true, true, 0},
-            {"silent, and the process has ended", Lost.SILENT, true, false, false, 1},
-            {"silent, and the process goes on", Lost.SILENT, false, false, false, 0},
-            {"silent, and the entry goes", Lost.SILENT, false, false, true, 0},
+            {"connection broken, process ended", Lost.BROKEN, true, false, false, 1},
+            {"connection broken, process still running", Lost.BROKEN, false, false, false, 0},
+            {"connection broken, registry entry removed", Lost.BROKEN, false, false, true, 1},
+            {"connection broken, replica draining", Lost.BROKEN, true, true, true, 0},
+            {"silent, process ended", Lost.SILENT, true, false, false, 1},
+            {"silent, process still running", Lost.SILENT, false, false, false, 0},
+            {"silent, registry entry removed", Lost.SILENT, false, false, true, 0},
         };
     }
 
-    /** Guards against counting what is not an end of the process, or not the request's doing. */
+    /**
+     * A lost request is reported only if the process of its replica crashed. A broken connection or a silent replica
+     * alone proves no crash, and a draining replica may end at any time.
+     */
     @Test(dataProvider = "losses")
-    public void countsEndsOfTheProcess(
-            String what, Lost loss, boolean ended, boolean draining, boolean entryGoes, int count) throws IOException {
-        list(draining);
+    public void reportsOnlyLossesAtCrashedReplicas(
+            String description, Lost loss, boolean processEnded, boolean draining, boolean entryRemoved, int expected)
+            throws IOException {
+        register(draining);
         LiveReplica replica = replica();
-        if (ended) {
+        if (processEnded) {
             server.close();
         }
         reactor.execute(() -> {
@@ -96,34 +100,34 @@
             lose(loss, replica);
         });
         runChecks();
-        if (entryGoes) {
+        if (entryRemoved) {
             registry.remove(REPLICA, 2);
         }
-        assertEquals(reported.size(), count, what);
+        assertEquals(reported.size(), expected, description);
     }
 
     private void lose(Lost loss, LiveReplica replica) {
         if (loss == Lost.BROKEN) {
-            witness.broken(RUN, replica);
+            detector.connectionBroken(RUN, replica);
         } else {
-            witness.silent(RUN, replica);
+            detector.replicaSilent(RUN, replica);
         }
     }
 
-    /** Guards against missing requests that notice the end a little later than the first. */
+    /** Requests that are lost shortly after a crash was detected are reported as well. */
     @Test
-    public void laterLossesAtTheSameEndCountToo() throws IOException {
+    public void reportsLossesAfterTheCrashWasDetected() throws IOException {
         LiveReplica replica = replica();
         server.close();
-        reactor.execute(() -> witness.broken(RUN, replica));
+        reactor.execute(() -> detector.connectionBroken(RUN, replica));
         runChecks();
-        witness.broken(new LostRun(new RequestFingerprint(2), 0, 60), replica);
+        detector.connectionBroken(new LostRun(new RequestFingerprint(2), 0, 60), replica);
         assertEquals(reported.size(), 2);
     }
 
-    /** Runs until two rounds of checks are over. */
+    /** Runs the event loop until two rounds of checks are complete. */
     private void runChecks() {
-        reactor.delay(CHECK_ROUNDS * CrashWitness.SECOND_CHECK_MILLIS, reactor::breakEventloop);
+        reactor.delay(CHECK_ROUNDS * CrashDetector.SECOND_CHECK_DELAY_MILLIS, reactor::breakEventloop);
         reactor.run();
     }
 }
