--- a/bench/src/main/java/org/hornbeamhead/bench/PolicyBench.java
+++ b/bench/src/main/java/org/hornbeamhead/bench/PolicyBench.java
@@ -135,8 +135,8 @@
         PrefixChain chain = chain(request);
         PlacementTarget target = new PlacementTarget(target(request), false);
         Optional<PlacementChoice> choice = router.policy.choose(router.table, chain, target, Set.of());
-        AdmissionDecision decision =
-                router.admission.interactive(request.customer(), target, choice.orElseThrow(), clock.monotonicMillis());
+        AdmissionDecision decision = router.admission.decideInteractive(
+                request.customer(), target, choice.orElseThrow(), clock.monotonicMillis());
         if (kind.admits() && decision instanceof AdmissionDecision.Refuse) {
             refused++;
             return;
@@ -159,7 +159,7 @@
                     .orElseThrow();
             long now = clock.monotonicMillis();
             more = !kind.admits()
-                    || router.admission.batch(scenario.tightestMillis(), choice, router.batch.isPressing(now), now)
+                    || router.admission.decideBatch(scenario.tightestMillis(), choice, router.batch.isUrgent(now), now)
                             instanceof AdmissionDecision.Admit;
             if (more) {
                 router.batch.poll();
--- a/core/src/main/java/org/hornbeamhead/core/admission/AdmissionControl.java
+++ b/core/src/main/java/org/hornbeamhead/core/admission/AdmissionControl.java
@@ -7,15 +7,19 @@
 import org.hornbeamhead.core.placement.PlacementTarget;
 
 /**
- * Decides at the door of one pool, from the classes' targets alone.
+ * Admission control of one pool, based only on the targets of the classes of work.
  *
- * <p>A request that would wait too long is refused at once and told when to come back; it is never held until its
- * target has passed. Batch requests wait for slack, so that interactive ones do not wait behind them.
+ * <p>A request whose wait would be too long is refused at once with a retry time, and is never queued until its target
+ * has passed. Batch requests wait for idle capacity, so that interactive requests do not queue behind them.
  */
 public final class AdmissionControl {
-    private static final double PRESSED_SHARE = 0.5;
-    private static final double FREE_SHARE = 0.25;
-    private static final double SLACK_SHARE = 0.1;
+    /** Fair shares are enforced when the wait exceeds this ratio of the first-token target. */
+    private static final double FAIR_SHARE_WAIT_RATIO = 0.5;
+    /** Requests are never refused as too late while the wait is within this ratio of the first-token target. */
+    private static final double ALWAYS_ADMIT_WAIT_RATIO = 0.25;
+    /** Batch requests are admitted while the wait is within this ratio of the tightest first-token target. */
+    private static final double BATCH_WAIT_RATIO = 0.1;
+
     private static final long MIN_RETRY_MILLIS = 100;
     private static final long MAX_RETRY_MILLIS = 30_000;
 
@@ -23,9 +27,9 @@
     private final RandomGenerator random;
 
     /**
-     * Makes a control that has let nothing in.
+     * Creates an admission control without any recorded usage.
      *
-     * @param random spreads the times to come back
+     * @param random randomizes the retry times
      */
     public AdmissionControl(RandomGenerator random) {
         this.random = random;
@@ -35,23 +39,23 @@
      * Decides on an interactive request.
      *
      * @param customer the customer
-     * @param target the class's target
+     * @param target the target of the class of work
      * @param choice the best replica for the request
      * @param nowMillis the monotonic time
-     * @return to admit or to refuse
+     * @return {@code Admit} or {@code Refuse}
      */
-    public AdmissionDecision interactive(
+    public AdmissionDecision decideInteractive(
             String customer, PlacementTarget target, PlacementChoice choice, long nowMillis) {
         double wait = choice.replica().waitMillis(nowMillis);
         double limit = target.firstTokenMillis();
-        boolean late = choice.firstTokenMillis() > limit && wait > limit * FREE_SHARE;
+        boolean late = choice.firstTokenMillis() > limit && wait > limit * ALWAYS_ADMIT_WAIT_RATIO;
         if (late) {
             return refuse(Reason.OVERLOADED, choice.firstTokenMillis() - limit);
         }
-        if (wait > limit * PRESSED_SHARE && shares.isOver(customer, nowMillis)) {
+        if (wait > limit * FAIR_SHARE_WAIT_RATIO && shares.isOverShare(customer, nowMillis)) {
             return refuse(Reason.OVER_SHARE, wait);
         }
-        shares.used(customer, choice.missedTokens() + 1.0, nowMillis);
+        shares.recordUsage(customer, choice.missedTokens() + 1.0, nowMillis);
         return new AdmissionDecision.Admit();
     }
 
@@ -60,19 +64,21 @@
      *
      * @param tightestMillis the tightest first-token target of the interactive classes, in milliseconds
      * @param choice the best replica for the request
-     * @param pressing whether the request must start now to be done in time
+     * @param urgent whether the request must start now to finish in time
      * @param nowMillis the monotonic time
-     * @return to admit or to wait
+     * @return {@code Admit} or {@code Wait}
      */
-    public AdmissionDecision batch(double tightestMillis, PlacementChoice choice, boolean pressing, long nowMillis) {
+    public AdmissionDecision decideBatch(
+            double tightestMillis, PlacementChoice choice, boolean urgent, long nowMillis) {
         double wait = choice.replica().waitMillis(nowMillis);
-        return pressing || wait <= tightestMillis * SLACK_SHARE
+        return urgent || wait <= tightestMillis * BATCH_WAIT_RATIO
                 ? new AdmissionDecision.Admit()
                 : new AdmissionDecision.Wait();
     }
 
-    private AdmissionDecision refuse(Reason reason, double overMillis) {
-        long base = Math.min(MAX_RETRY_MILLIS, Math.max(MIN_RETRY_MILLIS, (long) overMillis));
-        return new AdmissionDecision.Refuse(reason, Duration.ofMillis(base / 2 + random.nextLong(base + 1)));
+    private AdmissionDecision refuse(Reason reason, double excessMillis) {
+        long baseMillis = Math.min(MAX_RETRY_MILLIS, Math.max(MIN_RETRY_MILLIS, (long) excessMillis));
+        return new AdmissionDecision.Refuse(
+                reason, Duration.ofMillis(baseMillis / 2 + random.nextLong(baseMillis + 1)));
     }
 }
--- a/core/src/main/java/org/hornbeamhead/core/admission/AdmissionDecision.java
+++ b/core/src/main/java/org/hornbeamhead/core/admission/AdmissionDecision.java
@@ -3,19 +3,19 @@
 import java.time.Duration;
 import org.hornbeamhead.core.outcome.Reason;
 
-/** What is done with a request at the door. */
+/** The admission decision on a request. */
 public sealed interface AdmissionDecision {
-    /** It is dispatched now. */
+    /** The request is dispatched now. */
     record Admit() implements AdmissionDecision {}
 
-    /** It waits for slack; only batch classes wait. */
+    /** The request waits for idle capacity; only batch classes wait. */
     record Wait() implements AdmissionDecision {}
 
     /**
-     * It is refused, at once.
+     * The request is refused at once.
      *
-     * @param reason why
-     * @param retryAfter when there is likely to be room
+     * @param reason the reason for the refusal
+     * @param retryAfter the time after which capacity is likely to be available
      */
     record Refuse(Reason reason, Duration retryAfter) implements AdmissionDecision {}
 }
--- a/core/src/main/java/org/hornbeamhead/core/admission/BatchQueue.java
+++ b/core/src/main/java/org/hornbeamhead/core/admission/BatchQueue.java
@@ -5,69 +5,69 @@
 import java.util.PriorityQueue;
 
 /**
- * Batch requests that wait for slack, the earliest deadline first. Bounded: what does not fit is refused by the caller
- * of this class.
+ * A bounded queue of batch requests that wait for idle capacity, earliest latest start first. Its user refuses requests
+ * that do not fit.
  *
- * @param <T> what waits
+ * @param <T> the type of the requests
  */
 public final class BatchQueue<T> {
-    private record Entry<T>(T item, long latestStartMillis, long order) {}
+    private record Entry<T>(T item, long latestStartMillis, long sequence) {}
 
     private final int capacity;
     private final PriorityQueue<Entry<T>> queue = new PriorityQueue<>(
-            Comparator.<Entry<T>>comparingLong(Entry::latestStartMillis).thenComparingLong(Entry::order));
-    private long nextOrder;
+            Comparator.<Entry<T>>comparingLong(Entry::latestStartMillis).thenComparingLong(Entry::sequence));
+    private long nextSequence;
 
     /**
-     * Makes an empty queue.
+     * Creates an empty queue.
      *
-     * @param capacity how many may wait
+     * @param capacity the maximum number of waiting requests
      */
     public BatchQueue(int capacity) {
         this.capacity = capacity;
     }
 
     /**
-     * Puts a request in.
+     * Adds a request.
      *
      * @param item the request
-     * @param latestStartMillis the monotonic time at which it must start to be done in time
-     * @return false when the queue is full
+     * @param latestStartMillis the monotonic time by which it must start to finish in time
+     * @return false if the queue is full
      */
     public boolean offer(T item, long latestStartMillis) {
-        return queue.size() < capacity && queue.add(new Entry<>(item, latestStartMillis, nextOrder++));
+        return queue.size() < capacity && queue.add(new Entry<>(item, latestStartMillis, nextSequence++));
     }
 
     /**
-     * Looks at the most pressing request.
+     * Returns the request with the earliest latest start.
      *
-     * @return the request, empty when none waits
+     * @return the request, empty if the queue is empty
      */
     public Optional<T> peek() {
         return Optional.ofNullable(queue.peek()).map(Entry::item);
     }
 
     /**
-     * Tells whether the most pressing request must start.
+     * Returns whether the head of the queue must start now.
      *
      * @param nowMillis the monotonic time
-     * @return true when its latest start has come
+     * @return true if its latest start has been reached
      */
-    public boolean isPressing(long nowMillis) {
+    public boolean isUrgent(long nowMillis) {
         return !queue.isEmpty() && queue.peek().latestStartMillis() <= nowMillis;
     }
 
     /**
-     * Takes out the most pressing request.
+     * Removes and returns the request with the earliest latest start.
      *
-     * @return the request, empty when none waits
+     * @return the request, empty if the queue is empty
      */
     public Optional<T> poll() {
         return Optional.ofNullable(queue.poll()).map(Entry::item);
     }
 
     /**
-     * Takes out a request that was given up.
+     * Removes a cancelled request.
      *
      * @param item the request
      */
@@ -76,7 +76,7 @@
     }
 
     /**
-     * Counts what waits.
+     * Returns the number of waiting requests.
      *
      * @return the number of requests
      */
--- a/core/src/main/java/org/hornbeamhead/core/admission/FairShare.java
+++ b/core/src/main/java/org/hornbeamhead/core/admission/FairShare.java
@@ -4,47 +4,49 @@
 import java.util.Map;
 
 /**
- * How much of a pool each customer has used lately. The use fades, so that a quiet customer starts afresh.
+ * Tracks the recent usage of a pool per customer. Usage decays exponentially, so that an idle customer starts again
+ * from zero.
  *
- * <p>Shares are equal: the operators state no weights. The question is asked only while the pool is pressed; a customer
- * that is over its part is held back until the pressure is gone, and so takes whatever the others leave.
+ * <p>Shares are equal, since operators configure no weights. They are enforced only while the pool is under load: a
+ * customer over its share is refused until the load falls, and thus gets what the others leave unused.
  */
 public final class FairShare {
     private static final double HALF_LIFE_MILLIS = 2_000;
-    private static final double FORGOTTEN_TOKENS = 1;
+    private static final double MIN_TRACKED_TOKENS = 1;
     private static final double TOLERANCE = 1.1;
 
-    private record Use(double tokens, long atMillis) {}
+    private record Usage(double tokens, long atMillis) {}
 
-    private final Map<String, Use> uses = new HashMap<>();
+    private final Map<String, Usage> usages = new HashMap<>();
 
     /**
-     * Notes that a customer's request was let in.
+     * Records an admitted request of a customer.
      *
      * @param customer the customer
-     * @param tokens what it costs
+     * @param tokens the cost of the request in tokens
      * @param nowMillis the monotonic time
      */
-    public void used(String customer, double tokens, long nowMillis) {
-        uses.put(customer, new Use(faded(customer, nowMillis) + tokens, nowMillis));
+    public void recordUsage(String customer, double tokens, long nowMillis) {
+        usages.put(customer, new Usage(decayedTokens(customer, nowMillis) + tokens, nowMillis));
     }
 
     /**
-     * Tells whether a customer has had more than its equal part among those who use the pool.
+     * Returns whether a customer has used more than its equal share of the pool.
      *
      * @param customer the customer
      * @param nowMillis the monotonic time
-     * @return true when it is over; never true for the only customer
+     * @return true if it is over its share; always false for a single customer
      */
-    public boolean isOver(String customer, long nowMillis) {
-        uses.keySet().removeIf(c -> faded(c, nowMillis) < FORGOTTEN_TOKENS);
-        double total =
-                uses.keySet().stream().mapToDouble(c -> faded(c, nowMillis)).sum();
-        return uses.size() > 1 && faded(customer, nowMillis) > TOLERANCE * total / uses.size();
+    public boolean isOverShare(String customer, long nowMillis) {
+        usages.keySet().removeIf(c -> decayedTokens(c, nowMillis) < MIN_TRACKED_TOKENS);
+        double total = usages.keySet().stream()
+                .mapToDouble(c -> decayedTokens(c, nowMillis))
+                .sum();
+        return usages.size() > 1 && decayedTokens(customer, nowMillis) > TOLERANCE * total / usages.size();
     }
 
-    private double faded(String customer, long nowMillis) {
-        Use use = uses.get(customer);
+    private double decayedTokens(String customer, long nowMillis) {
+        Usage use = usages.get(customer);
         return use == null ? 0 : use.tokens() * Math.pow(0.5, (nowMillis - use.atMillis()) / HALF_LIFE_MILLIS);
     }
 }
--- a/core/src/main/java/org/hornbeamhead/core/crash/CrashAttribution.java
+++ b/core/src/main/java/org/hornbeamhead/core/crash/CrashAttribution.java
@@ -9,85 +9,90 @@
 import java.util.Set;
 
 /**
- * Decides which requests made replicas end, from the sets of requests that were under way there.
+ * Determines which requests crash replicas, from the replicas that crashed while each request was running.
  *
- * <p>A request under which three replicas ended is blamed, the one with the most ends first. Failure: others that
- * merely shared those replicas are blamed as well. Symptom: callers of sound requests are turned away together with the
- * one that did the harm. So the ends under a blamed request no longer count against others.
+ * <p>A request that was running during at least three crashes can be a culprit; requests with the most crashes are
+ * considered first. Harmless requests that ran on the same replicas must not be rejected together with the culprit, so
+ * the crashes attributed to one request no longer count against others.
  */
 final class CrashAttribution {
-    /** Ends after which a request may be blamed. */
-    static final int BLAMED_FROM = 3;
-    /** Ends after which a request is blamed whatever else was under way there. */
-    static final int BLAMED_ANYWAY_FROM = 6;
-    /** Ends that no other blamed request accounts for; one may be chance. */
-    private static final int LEAST_UNEXPLAINED = 2;
+    /** Crashes after which a request can be a culprit. */
+    static final int MIN_CRASHES = 3;
+    /** Crashes after which a request is a culprit regardless of what else was running. */
+    static final int CONCLUSIVE_CRASHES = 6;
+    /** Crashes that no other culprit explains, required of a culprit. A single one may be a coincidence. */
+    private static final int MIN_UNEXPLAINED_CRASHES = 2;
 
     private final Map<RequestFingerprint, Set<Integer>> crashes;
     private final Map<RequestFingerprint, Set<Integer>> unexplained = new HashMap<>();
-    private final Map<Integer, Integer> suspectsAt = new HashMap<>();
-    private final Set<RequestFingerprint> blamed = new HashSet<>();
+    private final Map<Integer, Integer> candidatesPerReplica = new HashMap<>();
+    private final Set<RequestFingerprint> culprits = new HashSet<>();
 
     private CrashAttribution(Map<RequestFingerprint, Set<Integer>> crashes) {
         this.crashes = crashes;
-        crashes.values().forEach(all -> all.forEach(replica -> suspectsAt.merge(replica, 1, Integer::sum)));
+        crashes.values()
+                .forEach(replicas -> replicas.forEach(replica -> candidatesPerReplica.merge(replica, 1, Integer::sum)));
         crashes.forEach((request, replicas) -> {
-            if (replicas.size() >= BLAMED_FROM) {
+            if (replicas.size() >= MIN_CRASHES) {
                 unexplained.put(request, new HashSet<>(replicas));
             }
         });
     }
 
     /**
-     * Decides.
+     * Finds the requests that cause crashes.
      *
-     * @param crashes the replicas that ended under each request
-     * @return the requests to blame
+     * @param crashes the replicas that crashed while each request was running
+     * @return the requests held responsible
      */
-    static Set<RequestFingerprint> blame(Map<RequestFingerprint, Set<Integer>> crashes) {
+    static Set<RequestFingerprint> findCulprits(Map<RequestFingerprint, Set<Integer>> crashes) {
         CrashAttribution attribution = new CrashAttribution(crashes);
-        Optional<RequestFingerprint> next = attribution.mostSuspect();
+        Optional<RequestFingerprint> next = attribution.mostLikelyCulprit();
         while (next.isPresent()) {
-            attribution.judge(next.get());
-            next = attribution.mostSuspect();
+            attribution.attribute(next.get());
+            next = attribution.mostLikelyCulprit();
         }
         crashes.forEach((request, replicas) -> {
-            if (replicas.size() >= BLAMED_ANYWAY_FROM) {
-                attribution.blamed.add(request);
+            if (replicas.size() >= CONCLUSIVE_CRASHES) {
+                attribution.culprits.add(request);
             }
         });
-        return attribution.blamed;
+        return attribution.culprits;
     }
 
-    private Optional<RequestFingerprint> mostSuspect() {
+    private Optional<RequestFingerprint> mostLikelyCulprit() {
         return unexplained.entrySet().stream()
-                .filter(e -> e.getValue().size() >= LEAST_UNEXPLAINED)
+                .filter(e -> e.getValue().size() >= MIN_UNEXPLAINED_CRASHES)
                 .map(Map.Entry::getKey)
                 .max(Comparator.comparingInt(
                                 (RequestFingerprint r) -> unexplained.get(r).size())
-                        .thenComparingDouble(this::weight)
+                        .thenComparingDouble(this::score)
                         .thenComparingLong(RequestFingerprint::value));
     }
 
-    /** An end with few requests under way says more of each of them. */
-    private double weight(RequestFingerprint request) {
+    /** Weights each crash by the number of candidate requests, since fewer candidates are stronger evidence. */
+    private double score(RequestFingerprint request) {
         return unexplained.get(request).stream()
-                .mapToDouble(replica -> 1.0 / suspectsAt.get(replica))
+                .mapToDouble(replica -> 1.0 / candidatesPerReplica.get(replica))
                 .sum();
     }
 
-    /** Two requests with the same ends cannot be told apart until one of them comes again without the other. */
-    private void judge(RequestFingerprint request) {
+    /**
+     * Attributes the unexplained crashes of a request to it and to all requests with the same unexplained crashes. With
+     * exactly the minimum of crashes, requests that cannot be told apart are not held responsible until a further
+     * crash.
+     */
+    private void attribute(RequestFingerprint request) {
         Set<Integer> replicas = unexplained.get(request);
-        List<RequestFingerprint> alike = unexplained.entrySet().stream()
+        List<RequestFingerprint> indistinguishable = unexplained.entrySet().stream()
                 .filter(e -> e.getValue().equals(replicas))
                 .map(Map.Entry::getKey)
                 .toList();
-        boolean undecided = alike.size() > 1 && crashes.get(request).size() == BLAMED_FROM;
-        alike.forEach(unexplained::remove);
-        if (!undecided) {
-            blamed.addAll(alike);
-            unexplained.values().forEach(others -> others.removeAll(replicas));
+        boolean ambiguous = indistinguishable.size() > 1 && crashes.get(request).size() == MIN_CRASHES;
+        indistinguishable.forEach(unexplained::remove);
+        if (!ambiguous) {
+            culprits.addAll(indistinguishable);
+            unexplained.values().forEach(remaining -> remaining.removeAll(replicas));
         }
     }
 }
--- a/core/src/main/java/org/hornbeamhead/core/crash/CrashGossip.java
+++ b/core/src/main/java/org/hornbeamhead/core/crash/CrashGossip.java
@@ -13,57 +13,59 @@
 import org.hornbeamhead.core.time.Timers;
 
 /**
- * Spreads what one router knows of crashes to all others, by datagrams to a few of them at a time, who pass it on.
+ * Distributes crash reports among routers by gossip: each router sends datagrams to a few peers, which pass them on.
  *
- * <p>What is new goes out at once and in some rounds after it; later all of it goes round slowly, so that a router that
- * started anew or was cut off catches up. The work of a router does not grow with their number, and nothing rests on
- * the platform's store.
+ * <p>A changed report is sent at once and in a few rounds after that. When there are no changes, all reports are sent
+ * in turn at a lower rate, so that routers that restarted or were partitioned catch up. The load of a router does not
+ * grow with the number of routers, and the exchange does not depend on the platform's store.
  *
- * <p>Owned by one thread.
+ * <p>Not thread-safe: all calls must come from one thread.
  */
 public final class CrashGossip {
-    /** Rounds in which something new is told; lost datagrams and busy routers cost a round each. */
-    private static final int TELLINGS = 5;
+    /**
+     * Rounds in which a changed report is sent; allows for lost datagrams and busy routers, which cost a round each.
+     */
+    private static final int SENDS_PER_CHANGE = 5;
 
-    private static final long ROUND_MILLIS = 100;
-    /** The least time between two rounds, so that what comes close together goes out together. */
-    private static final long GAP_MILLIS = 20;
+    private static final long ROUND_INTERVAL_MILLIS = 100;
+    /** Minimum time between rounds, so that changes in quick succession share a datagram. */
+    private static final long MIN_ROUND_INTERVAL_MILLIS = 20;
 
-    private static final long SLOW_ROUND_MILLIS = 2_000;
-    /** Other routers with work that are told in one round: they are the ones whom the request may reach next. */
-    private static final int NEAR = 4;
-    /** Routers that are told in one round whether or not they have work. */
-    private static final int ANY = 2;
+    private static final long ANTI_ENTROPY_INTERVAL_MILLIS = 2_000;
+    /** Peers with work chosen per round; the request is likely to reach one of them next. */
+    private static final int WORKING_PEERS_PER_ROUND = 4;
+    /** Peers chosen per round from all routers, with or without work. */
+    private static final int RANDOM_PEERS_PER_ROUND = 2;
 
     private final CrashHistory history;
     private final Clock clock;
     private final Timers timers;
     private final Random random;
-    private final Audience audience;
+    private final Peers peers;
     private final BiConsumer<String, byte[]> send;
-    /** How often what is new was told, that which was told last at the end. */
-    private final Map<RequestFingerprint, Integer> fresh = new LinkedHashMap<>();
+    /** How often each changed report was sent; the most recently sent report is last. */
+    private final Map<RequestFingerprint, Integer> sendCounts = new LinkedHashMap<>();
 
-    private int nextOld;
+    private int nextReport;
     private long round;
-    private long toldAt = Long.MIN_VALUE / 2;
+    private long lastRoundMillis = Long.MIN_VALUE / 2;
 
     /**
-     * Whom a router may tell.
+     * The routers that datagrams can be sent to.
      *
-     * @param working the addresses of the other routers with work, as far as they are known
+     * @param working the addresses of the other routers known to have work
      * @param all the addresses of all other routers
      */
-    public record Audience(Supplier<List<String>> working, Supplier<List<String>> all) {}
+    public record Peers(Supplier<List<String>> working, Supplier<List<String>> all) {}
 
     /**
-     * Makes gossip that has told nothing. It tells as soon as the history changes.
+     * Creates a gossip node. It starts sending when the history first changes.
      *
-     * @param history what is known
+     * @param history the crash history
      * @param clock the clock
-     * @param timers the thread's timers
-     * @param random chooses whom to tell
-     * @param audience whom it may tell
+     * @param timers timers that run on the owning thread
+     * @param random selects the peers
+     * @param peers the peers to select from
      * @param send sends a datagram to an address
      */
     public CrashGossip(
@@ -71,96 +73,97 @@
             Clock clock,
             Timers timers,
             Random random,
-            Audience audience,
+            Peers peers,
             BiConsumer<String, byte[]> send) {
         this.history = history;
         this.clock = clock;
         this.timers = timers;
         this.random = random;
-        this.audience = audience;
+        this.peers = peers;
         this.send = send;
     }
 
     /**
-     * More is known of a request than was told.
+     * Schedules the report of a request for sending after the history has changed.
      *
      * @param request the request
      */
-    public void changed(RequestFingerprint request) {
-        fresh.put(request, 0);
-        nextRound(Math.max(0, toldAt + GAP_MILLIS - clock.monotonicMillis()));
+    public void reportChanged(RequestFingerprint request) {
+        sendCounts.put(request, 0);
+        scheduleRound(Math.max(0, lastRoundMillis + MIN_ROUND_INTERVAL_MILLIS - clock.monotonicMillis()));
     }
 
     /**
-     * Takes a datagram of another router.
+     * Merges the reports of a datagram from another router into the history.
      *
-     * @param datagram the bytes; those that are no news are passed over
+     * @param datagram the bytes; malformed datagrams are ignored
      */
     public void receive(byte[] datagram) {
-        CrashNews.decode(datagram).ifPresent(reports -> reports.forEach(history::merge));
+        CrashReportCodec.decode(datagram).ifPresent(reports -> reports.forEach(history::merge));
     }
 
-    /** Only the round that was asked for last takes place. */
-    private void nextRound(long delayMillis) {
-        long number = ++round;
+    /** Schedules the next round and cancels the one scheduled before. */
+    private void scheduleRound(long delayMillis) {
+        long scheduled = ++round;
         timers.schedule(delayMillis, () -> {
-            if (number == round) {
-                tell();
+            if (scheduled == round) {
+                runRound();
             }
         });
     }
 
-    private void tell() {
-        toldAt = clock.monotonicMillis();
-        if (fresh.isEmpty()) {
-            history.sweep();
+    private void runRound() {
+        lastRoundMillis = clock.monotonicMillis();
+        if (sendCounts.isEmpty()) {
+            history.removeExpired();
         }
-        fresh.keySet().removeIf(r -> !history.knows(r));
+        sendCounts.keySet().removeIf(r -> !history.contains(r));
         if (history.isEmpty()) {
             return;
         }
-        byte[] datagram = CrashNews.encode(fresh.isEmpty() ? someOld() : someFresh());
-        listeners().forEach(a -> send.accept(a, datagram));
-        nextRound(fresh.isEmpty() ? SLOW_ROUND_MILLIS : ROUND_MILLIS);
+        byte[] datagram = CrashReportCodec.encode(sendCounts.isEmpty() ? nextReports() : changedReports());
+        selectPeers().forEach(address -> send.accept(address, datagram));
+        scheduleRound(sendCounts.isEmpty() ? ANTI_ENTROPY_INTERVAL_MILLIS : ROUND_INTERVAL_MILLIS);
     }
 
-    private List<CrashReport> someFresh() {
-        List<CrashReport> reports = CrashNews.fitting(
-                fresh.keySet().stream()
-                        .limit(CrashNews.MOST_REPORTS)
+    private List<CrashReport> changedReports() {
+        List<CrashReport> reports = CrashReportCodec.limitToSize(
+                sendCounts.keySet().stream()
+                        .limit(CrashReportCodec.MAX_REPORTS_PER_DATAGRAM)
                         .flatMap(r -> history.report(r).stream())
                         .toList(),
-                CrashNews.DATAGRAM_BYTES);
-        reports.stream().map(CrashReport::request).forEach(this::told);
+                CrashReportCodec.MAX_DATAGRAM_BYTES);
+        reports.stream().map(CrashReport::request).forEach(this::countSend);
         return reports;
     }
 
-    /** What was told often enough is no longer new. */
-    private void told(RequestFingerprint request) {
-        int tellings = fresh.remove(request) + 1;
-        if (tellings < TELLINGS) {
-            fresh.put(request, tellings);
+    /** Counts a send; a report that was sent often enough is no longer a change. */
+    private void countSend(RequestFingerprint request) {
+        int count = sendCounts.remove(request) + 1;
+        if (count < SENDS_PER_CHANGE) {
+            sendCounts.put(request, count);
         }
     }
 
-    /** Each round goes on where the one before ended. */
-    private List<CrashReport> someOld() {
+    /** Returns the reports that follow those of the previous round, starting over at the end. */
+    private List<CrashReport> nextReports() {
         List<CrashReport> all = history.reports();
-        int from = nextOld < all.size() ? nextOld : 0;
-        List<CrashReport> reports = CrashNews.fitting(all.subList(from, all.size()), CrashNews.DATAGRAM_BYTES);
-        nextOld = from + reports.size();
+        int from = nextReport < all.size() ? nextReport : 0;
+        List<CrashReport> reports =
+                CrashReportCodec.limitToSize(all.subList(from, all.size()), CrashReportCodec.MAX_DATAGRAM_BYTES);
+        nextReport = from + reports.size();
         return reports;
     }
 
-    private List<String> listeners() {
+    private List<String> selectPeers() {
         return Stream.concat(
-                        some(audience.working().get(), NEAR),
-                        some(audience.all().get(), ANY))
+                        sample(peers.working().get(), WORKING_PEERS_PER_ROUND),
+                        sample(peers.all().get(), RANDOM_PEERS_PER_ROUND))
                 .distinct()
                 .toList();
     }
 
-    private Stream<String> some(List<String> addresses, int count) {
+    private Stream<String> sample(List<String> addresses, int count) {
         List<String> shuffled = new ArrayList<>(addresses);
         Collections.shuffle(shuffled, random);
         return shuffled.stream().limit(count);
--- a/core/src/main/java/org/hornbeamhead/core/crash/CrashHistory.java
+++ b/core/src/main/java/org/hornbeamhead/core/crash/CrashHistory.java
@@ -15,38 +15,38 @@
 import org.hornbeamhead.core.time.Clock;
 
 /**
- * Under which requests replicas ended, as far as this router saw or was told, and which of these requests are held
- * back.
+ * Records which requests were running when replicas crashed, as observed by this router or reported by others, and
+ * determines which of these requests are quarantined.
  *
- * <p>Failure: a request makes each replica end that begins to run it, and comes again under another id by another
- * router. Symptom: it ends one replica after the other, and with them everything else that they were doing. Only its
- * content tells that it is the same, so ends are counted by content, and all routers share what they count.
+ * <p>A request that crashes every replica running it can come back with another id and through another router, and
+ * crash one replica after the other together with all their other work. Only its content identifies it, so crashes are
+ * counted by content fingerprint and the counts are shared among all routers.
  *
- * <p>What different routers know is joined as sets, so that the order and the number of tellings make no difference.
- * Owned by one thread.
+ * <p>Reports are merged as sets, so the result does not depend on their order or on repetition. Not thread-safe: all
+ * calls must come from one thread.
  */
 public final class CrashHistory {
-    /** Requests that are remembered; bounds the memory to a few megabytes. */
+    /** Maximum number of tracked requests; limits the memory to a few megabytes. */
     private static final int MAX_REQUESTS = 4_096;
-    /** Ends that are remembered of one request. */
-    private static final int MAX_CRASHES = 32;
-    /** How long a request is held back after its last end, doubled with each end beyond the third. */
-    private static final long HELD_MILLIS = 600_000;
+    /** Maximum number of crashes tracked per request. */
+    private static final int MAX_CRASHES_PER_REQUEST = 32;
+    /** How long a request is quarantined after its last crash; doubled with each crash after the third. */
+    private static final long QUARANTINE_MILLIS = 600_000;
 
-    /** Ends of one request that are hardly chance any more. */
-    private static final int LASTING_FROM = 2;
+    /** Crashes of one request that are unlikely to be a coincidence. */
+    private static final int MIN_CRASHES_TO_PERSIST = 2;
 
     private static final int MAX_DOUBLINGS = 5;
-    /** How long after an end other routers may still tell what else was under way there. */
-    private static final long SETTLING_MILLIS = 1_000;
+    /** How long after a crash reports from other routers about what else was running may still arrive. */
+    private static final long PROPAGATION_MILLIS = 1_000;
 
     private final Clock clock;
-    private final Map<RequestFingerprint, Map<Integer, SeenCrash>> requests = new LinkedHashMap<>();
+    private final Map<RequestFingerprint, Map<Integer, ObservedCrash>> crashesByRequest = new LinkedHashMap<>();
     private Consumer<RequestFingerprint> listener = r -> {};
-    private Optional<Set<RequestFingerprint>> blamed = Optional.empty();
+    private Optional<Set<RequestFingerprint>> culprits = Optional.empty();
 
     /**
-     * Makes a history without any end.
+     * Creates an empty history.
      *
      * @param clock the clock
      */
@@ -55,240 +55,250 @@
     }
 
     /**
-     * Tells of each request of which more is known than before.
+     * Sets the listener that is called with each request whose report has changed.
      *
-     * @param onChange takes the request
+     * @param onChange the listener
      */
-    public void listen(Consumer<RequestFingerprint> onChange) {
+    public void setListener(Consumer<RequestFingerprint> onChange) {
         listener = onChange;
     }
 
     /**
-     * Tells whether nothing is known, so that no request's content needs a look.
+     * Returns whether no crash is recorded, in which case requests need no fingerprint.
      *
-     * @return true while no end is remembered
+     * @return true if no crash is recorded
      */
     public boolean isEmpty() {
-        return requests.isEmpty();
+        return crashesByRequest.isEmpty();
     }
 
     /**
-     * Tells whether anything is known of a request.
+     * Returns whether a crash is recorded for a request.
      *
      * @param request the request
-     * @return true while an end under it is remembered
+     * @return true if at least one crash is recorded for it
      */
-    public boolean knows(RequestFingerprint request) {
-        return requests.containsKey(request);
+    public boolean contains(RequestFingerprint request) {
+        return crashesByRequest.containsKey(request);
     }
 
     /**
-     * Notes that a replica ended while a request was under way there.
+     * Records that a replica crashed while running a request.
      *
-     * @param run the run of the request
-     * @param replica a hash that names the run of the replica
+     * @param attempt the attempt that was lost
+     * @param replica a hash that identifies the run of the replica
      */
-    public void crashed(LostRun run, int replica) {
-        if (add(run.request(), replica, new SeenCrash(run.lostAt(), run.millis(), false))) {
-            changed(run.request());
+    public void recordCrash(LostAttempt attempt, int replica) {
+        if (add(
+                attempt.request(),
+                replica,
+                new ObservedCrash(attempt.lostAtMillis(), attempt.durationMillis(), false))) {
+            reportChanged(attempt.request());
         }
     }
 
     /**
-     * Notes that a request ran to its end, so that what ended before did not end because of it.
+     * Records that a request completed, which exonerates it of the crashes recorded so far.
      *
      * @param request the request
      */
-    public void completed(RequestFingerprint request) {
-        Map<Integer, SeenCrash> crashes = requests.getOrDefault(request, Map.of());
-        if (crashes.values().stream().anyMatch(s -> !s.cleared())) {
-            crashes.replaceAll((replica, seen) -> seen.clear());
-            changed(request);
+    public void recordCompletion(RequestFingerprint request) {
+        Map<Integer, ObservedCrash> crashes = crashesByRequest.getOrDefault(request, Map.of());
+        if (crashes.values().stream().anyMatch(c -> !c.exonerated())) {
+            crashes.replaceAll((replica, crash) -> crash.exonerate());
+            reportChanged(request);
         }
     }
 
     /**
-     * Notes that a request ran to its end, and computes its fingerprint only if any end is remembered.
+     * Records that a request completed. Computes the fingerprint only if a crash is recorded.
      *
-     * @param request names the request
+     * @param request computes the fingerprint of the request
      */
-    public void completed(Supplier<RequestFingerprint> request) {
+    public void recordCompletion(Supplier<RequestFingerprint> request) {
         if (!isEmpty()) {
-            completed(request.get());
+            recordCompletion(request.get());
         }
     }
 
     /**
-     * Takes over what another router knows.
+     * Merges a report from another router.
      *
-     * @param report its report
+     * @param report the report
      */
     public void merge(CrashReport report) {
         long now = clock.monotonicMillis();
-        long kept = keptMillis(report.crashes().size());
-        long news = report.crashes().stream()
-                .filter(c -> c.ageMillis() < kept)
-                .filter(c -> add(report.request(), c.replica(), SeenCrash.of(c, now)))
+        long retention = retentionMillis(report.crashes().size());
+        long added = report.crashes().stream()
+                .filter(c -> c.ageMillis() < retention)
+                .filter(c -> add(report.request(), c.replica(), ObservedCrash.of(c, now)))
                 .count();
-        if (news > 0) {
-            changed(report.request());
+        if (added > 0) {
+            reportChanged(report.request());
         }
     }
 
-    private boolean add(RequestFingerprint request, int replica, SeenCrash seen) {
-        Map<Integer, SeenCrash> known = requests.computeIfAbsent(request, r -> new HashMap<>());
-        SeenCrash before = known.get(replica);
-        if (before == null ? known.size() >= MAX_CRASHES : before.cleared() || !seen.cleared()) {
+    private boolean add(RequestFingerprint request, int replica, ObservedCrash crash) {
+        Map<Integer, ObservedCrash> known = crashesByRequest.computeIfAbsent(request, r -> new HashMap<>());
+        ObservedCrash previous = known.get(replica);
+        if (previous == null ? known.size() >= MAX_CRASHES_PER_REQUEST : previous.exonerated() || !crash.exonerated()) {
             return false;
         }
-        known.put(replica, before == null ? seen : before.clear());
+        known.put(replica, previous == null ? crash : previous.exonerate());
         return true;
     }
 
-    /** The request that changed last stands last, so that the one that has not changed for longest is dropped first. */
-    private void changed(RequestFingerprint request) {
-        blamed = Optional.empty();
-        requests.put(request, requests.remove(request));
-        if (requests.size() > MAX_REQUESTS) {
-            dropOne();
+    /** Moves the request to the end of the map, so that the least recently changed request is evicted first. */
+    private void reportChanged(RequestFingerprint request) {
+        culprits = Optional.empty();
+        crashesByRequest.put(request, crashesByRequest.remove(request));
+        if (crashesByRequest.size() > MAX_REQUESTS) {
+            evictOne();
         }
         listener.accept(request);
     }
 
-    /** Drops a request that is not held back; all of them are only if each has ended three replicas. */
-    private void dropOne() {
-        requests.keySet().stream()
-                .filter(r -> requests.get(r).size() < CrashAttribution.BLAMED_FROM)
+    /**
+     * Evicts the least recently changed request with fewer than three crashes, which cannot be quarantined, or the
+     * least recently changed of all if there is none.
+     */
+    private void evictOne() {
+        crashesByRequest.keySet().stream()
+                .filter(r -> crashesByRequest.get(r).size() < CrashAttribution.MIN_CRASHES)
                 .findFirst()
-                .or(() -> requests.keySet().stream().findFirst())
-                .ifPresent(requests::remove);
+                .or(() -> crashesByRequest.keySet().stream().findFirst())
+                .ifPresent(crashesByRequest::remove);
     }
 
-    /** Forgets what is over. */
-    public void sweep() {
+    /** Removes requests whose retention time has passed since their last crash. */
+    public void removeExpired() {
         long now = clock.monotonicMillis();
-        boolean gone = requests.values()
-                .removeIf(crashes ->
-                        crashes.values().stream().mapToLong(SeenCrash::at).max().orElse(0)
-                                < now - keptMillis(crashes.size()));
-        if (gone) {
-            blamed = Optional.empty();
+        boolean removed = crashesByRequest
+                .values()
+                .removeIf(crashes -> crashes.values().stream()
+                                .mapToLong(ObservedCrash::observedAtMillis)
+                                .max()
+                                .orElse(0)
+                        < now - retentionMillis(crashes.size()));
+        if (removed) {
+            culprits = Optional.empty();
         }
     }
 
-    private static long holdMillis(int crashes) {
-        return HELD_MILLIS << Math.min(MAX_DOUBLINGS, Math.max(0, crashes - CrashAttribution.BLAMED_FROM));
+    private static long quarantineDurationMillis(int crashes) {
+        return QUARANTINE_MILLIS << Math.min(MAX_DOUBLINGS, Math.max(0, crashes - CrashAttribution.MIN_CRASHES));
     }
 
-    /** Long enough that a request that ends a replica after it was held back is known again. */
-    private static long keptMillis(int crashes) {
-        return 2 * holdMillis(crashes);
+    /** Twice the quarantine, so that a request that crashes a replica soon after its quarantine is still known. */
+    private static long retentionMillis(int crashes) {
+        return 2 * quarantineDurationMillis(crashes);
     }
 
     /**
-     * Decides whether a request is held back.
+     * Returns how long a request stays quarantined.
      *
      * @param request the request
-     * @return how long it is held back from now on, in milliseconds; empty when it may run. Short where what other
-     *     routers saw may still show that another request was the cause
+     * @return the remaining quarantine in milliseconds; empty if the request may run. Shortly after a crash the time is
+     *     short, since reports from other routers may still show that another request was the cause
      */
-    public OptionalLong heldMillis(RequestFingerprint request) {
-        if (!blamed().contains(request)) {
+    public OptionalLong quarantineMillis(RequestFingerprint request) {
+        if (!culprits().contains(request)) {
             return OptionalLong.empty();
         }
-        Map<Integer, SeenCrash> crashes = requests.get(request);
+        Map<Integer, ObservedCrash> crashes = crashesByRequest.get(request);
         long last = crashes.values().stream()
-                .filter(s -> !s.cleared())
-                .mapToLong(SeenCrash::at)
+                .filter(c -> !c.exonerated())
+                .mapToLong(ObservedCrash::observedAtMillis)
                 .max()
                 .orElse(0);
         long age = clock.monotonicMillis() - last;
-        long left = holdMillis(crashes.size()) - age;
-        if (left <= 0) {
+        long remaining = quarantineDurationMillis(crashes.size()) - age;
+        if (remaining <= 0) {
             return OptionalLong.empty();
         }
-        return OptionalLong.of(age < SETTLING_MILLIS ? SETTLING_MILLIS : left);
+        return OptionalLong.of(age < PROPAGATION_MILLIS ? PROPAGATION_MILLIS : remaining);
     }
 
     /**
-     * Decides as {@link #heldMillis(RequestFingerprint)}, and computes the fingerprint only if any end is remembered.
+     * Returns {@link #quarantineMillis(RequestFingerprint)}, computing the fingerprint only if a crash is recorded.
      *
-     * @param request names the request
-     * @return how long it is held back from now on, in milliseconds; empty when it may run
+     * @param request computes the fingerprint of the request
+     * @return the remaining quarantine in milliseconds; empty if the request may run
      */
-    public OptionalLong heldMillis(Supplier<RequestFingerprint> request) {
-        return isEmpty() ? OptionalLong.empty() : heldMillis(request.get());
+    public OptionalLong quarantineMillis(Supplier<RequestFingerprint> request) {
+        return isEmpty() ? OptionalLong.empty() : quarantineMillis(request.get());
     }
 
-    private Set<RequestFingerprint> blamed() {
-        if (blamed.isEmpty()) {
-            blamed = Optional.of(CrashAttribution.blame(suspects()));
+    private Set<RequestFingerprint> culprits() {
+        if (culprits.isEmpty()) {
+            culprits = Optional.of(CrashAttribution.findCulprits(candidates()));
         }
-        return blamed.get();
+        return culprits.get();
     }
 
-    private Map<RequestFingerprint, Set<Integer>> suspects() {
-        return requests.entrySet().stream()
-                .filter(e -> e.getValue().size() >= CrashAttribution.BLAMED_FROM)
-                .filter(e -> SeenCrash.moments(e.getValue().values()) >= CrashAttribution.BLAMED_FROM)
-                .collect(Collectors.toMap(Map.Entry::getKey, e -> uncleared(e.getValue())));
+    private Map<RequestFingerprint, Set<Integer>> candidates() {
+        return crashesByRequest.entrySet().stream()
+                .filter(e -> e.getValue().size() >= CrashAttribution.MIN_CRASHES)
+                .filter(e -> ObservedCrash.countIndependent(e.getValue().values()) >= CrashAttribution.MIN_CRASHES)
+                .collect(Collectors.toMap(Map.Entry::getKey, e -> unexoneratedReplicas(e.getValue())));
     }
 
-    private static Set<Integer> uncleared(Map<Integer, SeenCrash> crashes) {
+    private static Set<Integer> unexoneratedReplicas(Map<Integer, ObservedCrash> crashes) {
         return crashes.entrySet().stream()
-                .filter(c -> !c.getValue().cleared())
+                .filter(c -> !c.getValue().exonerated())
                 .map(Map.Entry::getKey)
                 .collect(Collectors.toSet());
     }
 
     /**
-     * Counts the requests that are held back.
+     * Returns the number of quarantined requests.
      *
-     * @return their number
+     * @return the number of quarantined requests
      */
-    public int held() {
-        return (int) blamed().stream().filter(r -> heldMillis(r).isPresent()).count();
+    public int quarantinedCount() {
+        return (int)
+                culprits().stream().filter(r -> quarantineMillis(r).isPresent()).count();
     }
 
     /**
-     * Lists what is known, to be told to other routers.
+     * Returns all reports, for other routers.
      *
-     * @return a report a request, the one that changed last first
+     * @return one report per request, most recently changed first
      */
     public List<CrashReport> reports() {
-        List<CrashReport> all = new ArrayList<>(requests.size());
-        requests.forEach((request, crashes) -> all.add(report(request, crashes)));
+        List<CrashReport> all = new ArrayList<>(crashesByRequest.size());
+        crashesByRequest.forEach((request, crashes) -> all.add(report(request, crashes)));
         Collections.reverse(all);
         return all;
     }
 
     /**
-     * Lists the requests of which enough is known to be kept for a restart of all routers.
+     * Returns the reports with enough crashes to be persisted across a restart of all routers.
      *
-     * @return their reports, the one that changed last first
+     * @return the reports, most recently changed first
      */
-    public List<CrashReport> lastingReports() {
+    public List<CrashReport> reportsToPersist() {
         return reports().stream()
-                .filter(r -> r.crashes().size() >= LASTING_FROM)
+                .filter(r -> r.crashes().size() >= MIN_CRASHES_TO_PERSIST)
                 .toList();
     }
 
     /**
-     * Tells what is known of one request.
+     * Returns the report of a request.
      *
      * @param request the request
-     * @return its report, empty when nothing is known of it any more
+     * @return the report, empty if no crash is recorded for the request
      */
     public Optional<CrashReport> report(RequestFingerprint request) {
-        return Optional.ofNullable(requests.get(request)).map(crashes -> report(request, crashes));
+        return Optional.ofNullable(crashesByRequest.get(request)).map(crashes -> report(request, crashes));
     }
 
-    private CrashReport report(RequestFingerprint request, Map<Integer, SeenCrash> crashes) {
+    private CrashReport report(RequestFingerprint request, Map<Integer, ObservedCrash> crashes) {
         long now = clock.monotonicMillis();
         return new CrashReport(
                 request,
                 crashes.entrySet().stream()
-                        .map(c -> c.getValue().report(c.getKey(), now))
+                        .map(c -> c.getValue().toReport(c.getKey(), now))
                         .toList());
     }
 }
--- a/core/src/main/java/org/hornbeamhead/core/crash/CrashReport.java
+++ b/core/src/main/java/org/hornbeamhead/core/crash/CrashReport.java
@@ -3,39 +3,39 @@
 import java.util.List;
 
 /**
- * At which replicas one request was under way when they ended.
+ * The replicas that crashed while running one request.
  *
  * @param request the request
- * @param crashes the ends, one for each run of a replica
+ * @param crashes the crashes, one per run of a replica
  */
 public record CrashReport(RequestFingerprint request, List<Crash> crashes) {
     /**
-     * One end of a replica.
+     * A crash of a replica.
      *
-     * @param replica a hash that names the run of the replica
-     * @param ageMillis how long ago it ended, in milliseconds
-     * @param ranMillis how long the request had been there by then, in milliseconds
-     * @param cleared whether the request has since run to its end elsewhere, so that it was not the cause
+     * @param replica a hash that identifies the run of the replica
+     * @param ageMillis the time since the crash, in milliseconds
+     * @param runMillis how long the request had been at the replica, in milliseconds
+     * @param exonerated whether the request has since completed elsewhere and so was not the cause
      */
-    public record Crash(int replica, long ageMillis, int ranMillis, boolean cleared) {
-        Crash older(long millis) {
-            return new Crash(replica, ageMillis + millis, ranMillis, cleared);
+    public record Crash(int replica, long ageMillis, int runMillis, boolean exonerated) {
+        Crash aged(long millis) {
+            return new Crash(replica, ageMillis + millis, runMillis, exonerated);
         }
     }
 
-    /** Copies the crashes, so that the report cannot change. */
+    /** Creates a report with a copy of the crashes. */
     public CrashReport {
         crashes = List.copyOf(crashes);
     }
 
     /**
-     * Lets time pass.
+     * Returns the report with all crash ages increased.
      *
-     * @param millis how long, in milliseconds
-     * @return the report as it reads then
+     * @param millis the time to add, in milliseconds
+     * @return the report with the new ages
      */
-    public CrashReport older(long millis) {
+    public CrashReport aged(long millis) {
         return new CrashReport(
-                request, crashes.stream().map(c -> c.older(millis)).toList());
+                request, crashes.stream().map(c -> c.aged(millis)).toList());
     }
 }
--- a/core/src/main/java/org/hornbeamhead/core/crash/RequestFingerprint.java
+++ b/core/src/main/java/org/hornbeamhead/core/crash/RequestFingerprint.java
@@ -6,8 +6,8 @@
 import java.security.NoSuchAlgorithmException;
 
 /**
- * Names a request by its content: the same path, customer and body give the same fingerprint, whatever id the caller
- * gave. The content cannot be read out of it.
+ * Identifies a request by its content: equal path, customer and body give the same fingerprint, regardless of the id
+ * that the caller set. The content cannot be recovered from it.
  *
  * @param value the first eight bytes of a SHA-256 hash
  */
@@ -15,9 +15,9 @@
     /**
      * Computes the fingerprint of a request.
      *
-     * @param path the path with its query
-     * @param customer the customer's name, empty for anyone
-     * @param body the body
+     * @param path the path including the query
+     * @param customer the customer's name, empty for anonymous callers
+     * @param body the request body
      * @return the fingerprint
      */
     public static RequestFingerprint of(String path, String customer, byte[] body) {
@@ -28,7 +28,7 @@
         return new RequestFingerprint(ByteBuffer.wrap(hash.digest()).getLong());
     }
 
-    /** The length goes first, so that moving bytes from one field to the next gives another fingerprint. */
+    /** Hashes the length before the field, so that moving bytes from one field to the next changes the fingerprint. */
     private static void add(MessageDigest hash, byte[] field) {
         hash.update(ByteBuffer.allocate(Integer.BYTES).putInt(field.length).array());
         hash.update(field);
@@ -38,7 +38,7 @@
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException("SHA-256 is not available in this Java runtime", e);
         }
     }
 
--- a/core/src/main/java/org/hornbeamhead/core/forward/NextStep.java
+++ b/core/src/main/java/org/hornbeamhead/core/forward/NextStep.java
@@ -1,14 +1,14 @@
 package org.hornbeamhead.core.forward;
 
-/** What follows the end of a try. */
+/** The step that follows an attempt. */
 public sealed interface NextStep {
-    /** The request is sent to a replica that has not been tried. */
+    /** Sends the request to a replica that has not been tried. */
     record SendElsewhere() implements NextStep {}
 
     /**
-     * The request ends.
+     * Ends the request without a further attempt.
      *
-     * @param answer what the caller is told
+     * @param answer the response to the caller
      */
-    record GiveUp(FinalAnswer answer) implements NextStep {}
+    record GiveUp(FinalResponse answer) implements NextStep {}
 }
--- a/core/src/main/java/org/hornbeamhead/core/placement/Replica.java
+++ b/core/src/main/java/org/hornbeamhead/core/placement/Replica.java
@@ -4,7 +4,7 @@
 import org.hornbeamhead.core.endpoint.Endpoint;
 import org.hornbeamhead.core.endpoint.LoadReport;
 import org.hornbeamhead.core.prefix.PrefixChain;
-import org.hornbeamhead.core.retry.OutlierGuard;
+import org.hornbeamhead.core.retry.OutlierDetector;
 
 /**
  * One router's view of one replica. Owned by the router's thread.
@@ -39,7 +39,7 @@
     private int samples;
     private double millisPerToken = FIRST_MILLIS_PER_TOKEN;
     private double fixedMillis;
-    private final OutlierGuard outlier;
+    private final OutlierDetector outlier;
 
     /**
      * Makes the view of a replica not yet heard of.
@@ -47,7 +47,7 @@
      * @param endpoint its line in the host list
      * @param outlier decides when it is left out for failing
      */
-    Replica(Endpoint endpoint, OutlierGuard outlier) {
+    Replica(Endpoint endpoint, OutlierDetector outlier) {
         this.endpoint = endpoint;
         this.ringKey = LongHashFunction.xx3().hashChars(endpoint.address());
         this.outlier = outlier;
@@ -145,7 +145,7 @@
      * @return false while it leaves, drains, or is ejected
      */
     public boolean takesWork(long nowMillis) {
-        return !endpoint.leaving() && !draining && !outlier.ejected(nowMillis);
+        return !endpoint.leaving() && !draining && !outlier.isEjected(nowMillis);
     }
 
     /**
@@ -157,7 +157,7 @@
      * @return true when it does; always true for a warm replica
      */
     public boolean isWarmFor(long nowMillis, long key) {
-        long sinceMillis = nowMillis - Math.max(warmSinceMillis, outlier.returnedAtMillis());
+        long sinceMillis = nowMillis - Math.max(warmSinceMillis, outlier.ejectionEndMillis());
         if (sinceMillis >= WARM_UP_MILLIS) {
             return true;
         }
@@ -266,7 +266,7 @@
      *
      * @return the guard
      */
-    public OutlierGuard outlier() {
+    public OutlierDetector outlier() {
         return outlier;
     }
 
--- a/core/src/main/java/org/hornbeamhead/core/placement/ReplicaTable.java
+++ b/core/src/main/java/org/hornbeamhead/core/placement/ReplicaTable.java
@@ -10,7 +10,7 @@
 import org.hornbeamhead.core.endpoint.Endpoint;
 import org.hornbeamhead.core.endpoint.LoadReport;
 import org.hornbeamhead.core.prefix.PrefixChain;
-import org.hornbeamhead.core.retry.OutlierGuard;
+import org.hornbeamhead.core.retry.OutlierDetector;
 import org.hornbeamhead.core.time.Clock;
 
 /** One router's view of one pool. Owned by the router's thread. */
@@ -44,7 +44,7 @@
 
     private void update(Endpoint endpoint) {
         byAddress
-                .computeIfAbsent(endpoint.address(), a -> new Replica(endpoint, new OutlierGuard()))
+                .computeIfAbsent(endpoint.address(), a -> new Replica(endpoint, new OutlierDetector()))
                 .endpoint(endpoint);
     }
 
@@ -106,7 +106,7 @@
      */
     public void ended(PlacementChoice choice, int cachedTokens) {
         choice.replica().ended();
-        choice.replica().outlier().succeeded();
+        choice.replica().outlier().recordSuccess();
         if (cachedTokens >= 0) {
             choice.replica().cached().correct(choice.belief(), cachedTokens);
         }
--- a/core/src/main/java/org/hornbeamhead/core/retry/Backoff.java
+++ b/core/src/main/java/org/hornbeamhead/core/retry/Backoff.java
@@ -3,27 +3,28 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Delays that grow with each failure and are spread at random, so that a herd does not return as one.
+ * Exponential backoff with jitter, which keeps many clients from retrying at the same time.
  *
- * @param firstMillis the longest first delay, in milliseconds
- * @param maxMillis the longest delay, in milliseconds
+ * @param firstMillis the upper bound of the first delay, in milliseconds
+ * @param maxMillis the upper bound of all delays, in milliseconds
  */
 public record Backoff(long firstMillis, long maxMillis) {
     private static final int MAX_DOUBLINGS = 20;
 
-    /** Checks the limits. */
+    /** Creates a backoff with limits {@code 0 < firstMillis <= maxMillis}. */
     public Backoff {
         if (firstMillis <= 0 || maxMillis < firstMillis) {
-            throw new IllegalArgumentException("need 0 < first <= max, got " + firstMillis + " and " + maxMillis);
+            throw new IllegalArgumentException(
+                    "backoff requires 0 < firstMillis <= maxMillis, got " + firstMillis + " and " + maxMillis);
         }
     }
 
     /**
-     * Draws a delay between half of the present limit and the limit.
+     * Returns a random delay between half of the current limit and the limit.
      *
-     * @param failures how many failures came before; 0 for the first delay
+     * @param failures the number of earlier failures, 0 for the first delay
      * @param random the source of randomness
-     * @return milliseconds
+     * @return the delay in milliseconds
      */
     public long delayMillis(int failures, RandomGenerator random) {
         long limit = Math.min(maxMillis, firstMillis << Math.min(failures, MAX_DOUBLINGS));
--- a/core/src/main/java/org/hornbeamhead/core/retry/RetryBudget.java
+++ b/core/src/main/java/org/hornbeamhead/core/retry/RetryBudget.java
@@ -1,29 +1,28 @@
 package org.hornbeamhead.core.retry;
 
 /**
- * Allows second tries as a share of successes.
+ * A token bucket that limits retries to a share of the successful requests.
  *
- * <p>Failure: a replica dies under full load and every caller's try is doubled, which overloads the rest. Symptom: load
- * grows as capacity falls. With tokens earned only by successes, tries beyond the first stay below the share whatever
- * fails.
+ * <p>If a replica dies under full load and every failed attempt is retried, load grows as capacity falls and the other
+ * replicas are overloaded. Since only successes earn tokens, retries stay below the share whatever fails.
  */
 public final class RetryBudget {
-    private static final double EARNED_PER_SUCCESS = 0.1;
-    private static final double RESERVE = 10;
+    private static final double TOKENS_PER_SUCCESS = 0.1;
+    private static final double MAX_TOKENS = 10;
 
-    private double tokens = RESERVE;
+    private double tokens = MAX_TOKENS;
 
-    /** Notes a success, which earns a part of a second try. */
-    public void succeeded() {
-        tokens = Math.min(RESERVE, tokens + EARNED_PER_SUCCESS);
+    /** Records a success, which earns a fraction of a retry. */
+    public void recordSuccess() {
+        tokens = Math.min(MAX_TOKENS, tokens + TOKENS_PER_SUCCESS);
     }
 
     /**
-     * Takes one second try out of the budget.
+     * Takes one retry from the budget.
      *
-     * @return true when there was one
+     * @return false if the budget is exhausted
      */
-    public boolean tryTake() {
+    public boolean tryAcquire() {
         if (tokens < 1) {
             return false;
         }
--- a/core/src/main/java/org/hornbeamhead/core/retry/SharedRetryBudget.java
+++ b/core/src/main/java/org/hornbeamhead/core/retry/SharedRetryBudget.java
@@ -4,94 +4,94 @@
 import java.util.Deque;
 
 /**
- * One router's part of a budget of repeats that all routers share: a share of the requests in a sliding window, and a
- * fixed number for the whole fleet.
+ * One router's part of a retry budget shared by all routers: a ratio of the requests in a sliding window, plus a fixed
+ * number for the whole fleet.
  *
- * <p>Failure: under a fault that hits all replicas, every router repeats every request. Symptom: the service gets twice
- * the load just when it can bear least. Each router takes at most its own requests' share and its part of the fixed
- * number, so that the sum stays within the whole budget without any message.
+ * <p>If a fault affects all replicas and every router retries every request, the load of the service doubles when it
+ * has the least capacity. Each router uses at most the ratio of its own requests and its part of the fixed number, so
+ * the sum stays within the shared budget without coordination between routers.
  */
 public final class SharedRetryBudget {
-    /** Part of the budget that is used. The rest covers a router that counts fewer live routers than there are. */
-    private static final double USED_PART = 0.7;
+    /** Usable share of the budget. The rest is a margin for routers that count fewer live routers than there are. */
+    private static final double USABLE_SHARE = 0.7;
 
-    private static final int SLICES = 10;
+    private static final int BUCKETS = 10;
 
     private final double ratio;
     private final double slack;
-    private final long sliceMillis;
-    private final Deque<Slice> slices = new ArrayDeque<>();
+    private final long bucketMillis;
+    private final Deque<Bucket> buckets = new ArrayDeque<>();
 
-    private static final class Slice {
+    private static final class Bucket {
         private final long start;
         private int requests;
-        private int repeats;
+        private int retries;
 
-        Slice(long start) {
+        Bucket(long start) {
             this.start = start;
         }
     }
 
     /**
-     * Makes a budget.
+     * Creates a budget.
      *
-     * @param ratio repeats allowed a request
-     * @param slack repeats allowed besides, over the whole fleet and window
-     * @param windowMillis the window, in milliseconds
+     * @param ratio retries allowed per request
+     * @param slack additional retries allowed per window, for the whole fleet
+     * @param windowMillis the length of the window, in milliseconds
      */
     public SharedRetryBudget(double ratio, double slack, long windowMillis) {
         this.ratio = ratio;
         this.slack = slack;
-        this.sliceMillis = Math.max(1, windowMillis / SLICES);
+        this.bucketMillis = Math.max(1, windowMillis / BUCKETS);
     }
 
     /**
-     * Notes a request that came from a caller.
+     * Records a request from a caller.
      *
      * @param nowMillis the monotonic time
      */
-    public void requested(long nowMillis) {
-        slice(nowMillis).requests++;
+    public void recordRequest(long nowMillis) {
+        currentBucket(nowMillis).requests++;
     }
 
     /**
-     * Takes one repeat.
+     * Takes one retry from the budget.
      *
      * @param nowMillis the monotonic time
-     * @param share this router's part of what is allowed besides, at most 1
-     * @return whether there was one
+     * @param share this router's part of the fixed number, at most 1
+     * @return false if the budget is exhausted
      */
-    public boolean tryTake(long nowMillis, double share) {
-        if (!canTake(nowMillis, share)) {
+    public boolean tryAcquire(long nowMillis, double share) {
+        if (!canAcquire(nowMillis, share)) {
             return false;
         }
-        slice(nowMillis).repeats++;
+        currentBucket(nowMillis).retries++;
         return true;
     }
 
     /**
-     * Tells whether there is a repeat to take.
+     * Returns whether a retry is available.
      *
      * @param nowMillis the monotonic time
-     * @param share this router's part of what is allowed besides, at most 1
-     * @return whether one could be taken now
+     * @param share this router's part of the fixed number, at most 1
+     * @return true if {@link #tryAcquire} would succeed now
      */
-    public boolean canTake(long nowMillis, double share) {
-        slice(nowMillis);
-        int requests = slices.stream().mapToInt(s -> s.requests).sum();
-        int repeats = slices.stream().mapToInt(s -> s.repeats).sum();
-        double allowed = USED_PART * (ratio * requests + slack * share);
-        return repeats + 1 <= allowed;
+    public boolean canAcquire(long nowMillis, double share) {
+        currentBucket(nowMillis);
+        int requests = buckets.stream().mapToInt(b -> b.requests).sum();
+        int retries = buckets.stream().mapToInt(b -> b.retries).sum();
+        double allowed = USABLE_SHARE * (ratio * requests + slack * share);
+        return retries + 1 <= allowed;
     }
 
-    private Slice slice(long nowMillis) {
-        long start = nowMillis - nowMillis % sliceMillis;
-        if (slices.isEmpty() || slices.peekLast().start < start) {
-            slices.addLast(new Slice(start));
+    private Bucket currentBucket(long nowMillis) {
+        long start = nowMillis - nowMillis % bucketMillis;
+        if (buckets.isEmpty() || buckets.peekLast().start < start) {
+            buckets.addLast(new Bucket(start));
         }
-        while (slices.peekFirst().start <= start - SLICES * sliceMillis) {
-            slices.removeFirst();
+        while (buckets.peekFirst().start <= start - BUCKETS * bucketMillis) {
+            buckets.removeFirst();
         }
-        return slices.peekLast();
+        return buckets.peekLast();
     }
 }
--- a/core/src/main/java/org/hornbeamhead/core/route/CallerLimits.java
+++ b/core/src/main/java/org/hornbeamhead/core/route/CallerLimits.java
@@ -1,11 +1,11 @@
 package org.hornbeamhead.core.route;
 
 /**
- * What a caller may send, and how long it may take.
+ * Size and time limits for requests from callers.
  *
- * @param headerBytes the size of a request's head
- * @param bodyBytes the size of a request's body
- * @param headerTimeoutMillis how long a head may take to arrive, in milliseconds
+ * @param maxHeaderBytes the maximum size of a request's header section, in bytes
+ * @param maxBodyBytes the maximum size of a request's body, in bytes
+ * @param headerTimeoutMillis how long the header section may take to arrive, in milliseconds
  * @param idleTimeoutMillis how long a connection may stay idle, in milliseconds
  */
-public record CallerLimits(int headerBytes, int bodyBytes, long headerTimeoutMillis, long idleTimeoutMillis) {}
+public record CallerLimits(int maxHeaderBytes, int maxBodyBytes, long headerTimeoutMillis, long idleTimeoutMillis) {}
--- a/core/src/main/java/org/hornbeamhead/core/route/EngineSpec.java
+++ b/core/src/main/java/org/hornbeamhead/core/route/EngineSpec.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * What the engines of a service bear.
+ * The capacity of the engines of a service.
  *
- * @param slots the requests that run in one batch
- * @param memoryTokens the tokens that fit into an engine's memory, running and cached together
- * @param tokenBytes the bytes that one cached token takes
- * @param linkMbps the speed of an engine's link for cached tokens, in megabits a second
- * @param models the names of the models that it serves
+ * @param slots the maximum number of requests in one batch
+ * @param kvCapacityTokens the KV cache capacity of an engine in tokens, for running and cached requests together
+ * @param kvTokenBytes the size of one token in the KV cache, in bytes
+ * @param linkMbps the bandwidth of an engine's link for KV cache transfers, in megabits per second
+ * @param models the names of the models that the engines serve
  */
-public record EngineSpec(int slots, long memoryTokens, long tokenBytes, double linkMbps, List<String> models) {
-    /** Copies the models, so that the figures cannot change. */
+public record EngineSpec(int slots, long kvCapacityTokens, long kvTokenBytes, double linkMbps, List<String> models) {
+    /** Creates a specification with a copy of the models. */
     public EngineSpec {
         models = List.copyOf(models);
     }
--- a/core/src/main/java/org/hornbeamhead/core/route/RequestKind.java
+++ b/core/src/main/java/org/hornbeamhead/core/route/RequestKind.java
@@ -1,11 +1,11 @@
 package org.hornbeamhead.core.route;
 
-/** What may be done again with a request. */
+/** Whether a request may be repeated. */
 public enum RequestKind {
-    /** It may run any number of times. */
+    /** The request may run any number of times. */
     IDEMPOTENT,
-    /** It may run once at most. */
+    /** The request may run at most once. */
     NOT_IDEMPOTENT,
-    /** Its answer is a stream of events; it may be continued only where its route says so. */
+    /** The response is an event stream, which can be resumed only if the route is resumable. */
     STREAM
 }
--- a/core/src/main/java/org/hornbeamhead/core/route/Route.java
+++ b/core/src/main/java/org/hornbeamhead/core/route/Route.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * Where requests of one host and path prefix go, and what their callers were promised.
+ * The destination and the service levels of requests with one host and path prefix.
  *
  * @param name the route's name
- * @param host the host that callers ask for, in lower case
- * @param prefix the beginning of the path, with a slash at both ends
- * @param kind what may be repeated
- * @param resumable whether a broken stream may go on at another replica
- * @param open whether requests need no key
- * @param sharedPrompts whether requests name the parts of their prompts
- * @param limits how long and how often requests may be tried
- * @param priority the rank, 0 first
- * @param services where requests go, by weight; never empty
+ * @param host the requested host, in lower case
+ * @param prefix the path prefix, starting and ending with a slash
+ * @param kind whether requests may be repeated
+ * @param resumable whether a broken stream may be resumed at another replica
+ * @param allowsAnonymous whether requests need no API key
+ * @param namesPromptParts whether requests name the parts of their prompts
+ * @param limits the time and attempt limits of requests
+ * @param priority the priority, 0 is the highest
+ * @param services the weighted services that requests are distributed to; never empty
  */
 public record Route(
         String name,
@@ -22,40 +22,40 @@
         String prefix,
         RequestKind kind,
         boolean resumable,
-        boolean open,
-        boolean sharedPrompts,
+        boolean allowsAnonymous,
+        boolean namesPromptParts,
         RouteLimits limits,
         int priority,
         List<WeightedService> services) {
-    /** Copies the services, so that the route cannot change. */
+    /** Creates a route with a copy of the services, of which there must be at least one. */
     public Route {
         services = List.copyOf(services);
         if (services.isEmpty()) {
-            throw new IllegalArgumentException("route " + name + " leads nowhere");
+            throw new IllegalArgumentException("route " + name + " has no services");
         }
     }
 
     /**
-     * Tells whether a run may follow another run of the same request.
+     * Returns whether a request may be executed again after a possible execution.
      *
-     * @return true for idempotent requests and for streams that may be resumed
+     * @return true for idempotent requests and for resumable streams
      */
     public boolean repeatable() {
         return kind == RequestKind.IDEMPOTENT || (kind == RequestKind.STREAM && resumable);
     }
 
     /**
-     * Picks a service by weight.
+     * Selects a service by weight.
      *
-     * @param draw a number spread evenly over all values, such as a hash of the request's id
+     * @param hash a uniformly distributed number, such as a hash of the request's id
      * @return the service's name
      */
-    public String serviceFor(long draw) {
+    public String selectService(long hash) {
         int total = services.stream().mapToInt(WeightedService::weight).sum();
-        long left = total == 0 ? 0 : Math.floorMod(draw, (long) total);
+        long remainder = total == 0 ? 0 : Math.floorMod(hash, (long) total);
         for (WeightedService s : services) {
-            left -= s.weight();
-            if (left < 0) {
+            remainder -= s.weight();
+            if (remainder < 0) {
                 return s.service();
             }
         }
--- a/core/src/main/java/org/hornbeamhead/core/route/RouteLimits.java
+++ b/core/src/main/java/org/hornbeamhead/core/route/RouteLimits.java
@@ -1,11 +1,12 @@
 package org.hornbeamhead.core.route;
 
 /**
- * How long and how often the requests of a route may be tried.
+ * The time and attempt limits of the requests of a route.
  *
- * @param timeoutMillis the longest time that a caller is kept waiting, in milliseconds
- * @param targetMillis the time within which an answer, or a stream's first event, is on time, in milliseconds
- * @param pauseMillis the longest pause between two events that is on time, in milliseconds; 0 for no streams
- * @param maxAttempts the number of replicas that may run one request
+ * @param timeoutMillis the maximum time that a caller waits, in milliseconds
+ * @param latencyTargetMillis the target latency of a response, or of a stream's first event, in milliseconds
+ * @param gapTargetMillis the target maximum gap between two events of a stream, in milliseconds; 0 if there are no
+ *     streams
+ * @param maxAttempts the maximum number of replicas that may execute one request
  */
-public record RouteLimits(long timeoutMillis, long targetMillis, long pauseMillis, int maxAttempts) {}
+public record RouteLimits(long timeoutMillis, long latencyTargetMillis, long gapTargetMillis, int maxAttempts) {}
--- a/core/src/main/java/org/hornbeamhead/core/route/RoutingConfig.java
+++ b/core/src/main/java/org/hornbeamhead/core/route/RoutingConfig.java
@@ -8,56 +8,56 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** One version of the operators' configuration, indexed for requests. Immutable. */
+/** One version of the operators' configuration, indexed for request lookups. Immutable. */
 public final class RoutingConfig {
     private final long version;
     private final CallerLimits limits;
     private final Map<String, ServiceSpec> services;
-    private final List<PromptStore> promptStores;
-    private final boolean keysNeeded;
+    private final List<KvCacheStore> kvCacheStores;
+    private final boolean keysRequired;
     private final Map<String, KeyOwner> keys;
-    private final Map<String, Map<String, Route>> byHost;
+    private final Map<String, Map<String, Route>> routesByHost;
 
     /**
-     * Indexes a configuration.
+     * Creates an indexed configuration.
      *
-     * @param version its number, higher than those of all versions before
-     * @param limits what callers may send
+     * @param version the version number, higher than those of all earlier versions
+     * @param limits the limits for requests from callers
      * @param routes the routes
      * @param services the services
-     * @param promptStores the stores of cached prompts
-     * @param keysNeeded whether requests on routes that are not open need a key; also true once the last key is taken
-     *     away
-     * @param keys the owner of each key
+     * @param kvCacheStores the external KV cache stores
+     * @param keysRequired whether routes that allow no anonymous requests require an API key; stays true after the last
+     *     key is removed
+     * @param keys the owner of each API key
      */
     public RoutingConfig(
             long version,
             CallerLimits limits,
             List<Route> routes,
             List<ServiceSpec> services,
-            List<PromptStore> promptStores,
-            boolean keysNeeded,
+            List<KvCacheStore> kvCacheStores,
+            boolean keysRequired,
             Map<String, KeyOwner> keys) {
         this.version = version;
         this.limits = limits;
         this.services = services.stream().collect(Collectors.toUnmodifiableMap(ServiceSpec::name, Function.identity()));
-        this.promptStores = List.copyOf(promptStores);
-        this.keysNeeded = keysNeeded;
+        this.kvCacheStores = List.copyOf(kvCacheStores);
+        this.keysRequired = keysRequired;
         this.keys = Map.copyOf(keys);
-        this.byHost = routes.stream()
+        this.routesByHost = routes.stream()
                 .collect(Collectors.groupingBy(
                         Route::host, HashMap::new, Collectors.toMap(Route::prefix, r -> r, (a, b) -> b)));
     }
 
     /**
-     * Finds the route with the longest prefix that begins the path.
+     * Returns the route of the host with the longest matching path prefix.
      *
-     * @param host the host as the caller named it, with or without a port
-     * @param path the path without its query
-     * @return the route, empty when none fits
+     * @param host the host as sent by the caller, with or without a port
+     * @param path the path without the query
+     * @return the route, empty if none matches
      */
-    public Optional<Route> route(String host, String path) {
-        Map<String, Route> routes = byHost.get(hostName(host));
+    public Optional<Route> findRoute(String host, String path) {
+        Map<String, Route> routes = routesByHost.get(hostName(host));
         if (routes == null) {
             return Optional.empty();
         }
@@ -76,45 +76,45 @@
     }
 
     /**
-     * Finds a key's owner.
+     * Returns the owner of an API key.
      *
      * @param key the key
-     * @return the owner, empty when no customer holds the key
+     * @return the owner, empty if the key is unknown
      */
-    public Optional<KeyOwner> owner(String key) {
+    public Optional<KeyOwner> findKeyOwner(String key) {
         return Optional.ofNullable(keys.get(key));
     }
 
     /**
-     * Finds a service.
+     * Returns a service by name.
      *
-     * @param name its name
-     * @return the service, empty when this version has none of that name
+     * @param name the service's name
+     * @return the service, empty if this version has no service of that name
      */
-    public Optional<ServiceSpec> service(String name) {
+    public Optional<ServiceSpec> findService(String name) {
         return Optional.ofNullable(services.get(name));
     }
 
     /**
-     * Tells whether requests need a key on routes that are not open.
+     * Returns whether routes that allow no anonymous requests require an API key.
      *
-     * @return true when the configuration names customers, with or without keys
+     * @return true if the configuration names customers, with or without keys
      */
-    public boolean needsKeys() {
-        return keysNeeded;
+    public boolean requiresKeys() {
+        return keysRequired;
     }
 
     /**
-     * Returns the version's number.
+     * Returns the version number.
      *
-     * @return the number
+     * @return the version number
      */
     public long version() {
         return version;
     }
 
     /**
-     * Returns what callers may send.
+     * Returns the limits for requests from callers.
      *
      * @return the limits
      */
@@ -123,11 +123,11 @@
     }
 
     /**
-     * Returns the stores of cached prompts.
+     * Returns the external KV cache stores.
      *
      * @return the stores
      */
-    public List<PromptStore> promptStores() {
-        return promptStores;
+    public List<KvCacheStore> kvCacheStores() {
+        return kvCacheStores;
     }
 }
--- a/core/src/main/java/org/hornbeamhead/core/route/WeightedService.java
+++ b/core/src/main/java/org/hornbeamhead/core/route/WeightedService.java
@@ -1,9 +1,9 @@
 package org.hornbeamhead.core.route;
 
 /**
- * One of the services behind a route.
+ * A service of a route with its weight.
  *
  * @param service the service's name
- * @param weight its share against the weights of the others; above 0
+ * @param weight its weight relative to the other services; above 0
  */
 public record WeightedService(String service, int weight) {}
--- a/core/src/test/java/org/hornbeamhead/core/admission/AdmissionTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/admission/AdmissionTest.java
@@ -27,7 +27,7 @@
 
     private final ManualClock clock = new ManualClock(0);
 
-    /** A replica with so many prompt tokens ahead, at 0.05 ms each. */
+    /** Returns the choice of a replica with the given number of prompt tokens waiting, at 0.05 ms each. */
     private PlacementChoice choice(long waitingTokens) {
         ReplicaTable table = new ReplicaTable(clock);
         table.listed(List.of(new Endpoint(EndpointKind.ENGINE, "p", "e", "", "dc", false)));
@@ -42,11 +42,11 @@
         return new Object[][] {{0, true}, {2_000, true}, {6_000, true}, {8_000, false}, {100_000, false}};
     }
 
-    // The pool is too busy for the class's target. The caller is told so at once, with when to come back.
+    /** A request that cannot meet the target of its class is refused at once, with a retry time. */
     @Test(dataProvider = "loads")
-    public void whatCannotMeetItsTargetIsRefusedAtOnce(long waiting, boolean admitted) {
+    public void requestThatCannotMeetItsTargetIsRefused(long waitingTokens, boolean admitted) {
         AdmissionControl control = new AdmissionControl(new SplittableRandom(1));
-        AdmissionDecision decision = control.interactive("c", TARGET, choice(waiting), 0);
+        AdmissionDecision decision = control.decideInteractive("c", TARGET, choice(waitingTokens), 0);
         assertEquals(decision instanceof AdmissionDecision.Admit, admitted);
         if (decision instanceof AdmissionDecision.Refuse refuse) {
             assertEquals(refuse.reason(), Reason.OVERLOADED);
@@ -54,52 +54,56 @@
         }
     }
 
-    // A large customer sends ten times its part. Under pressure it alone is refused; the small ones are let in.
+    /** A customer sends ten times its share. Under load only this customer is refused, and the other is admitted. */
     @Test
-    public void underPressureOnlyTheCustomerOverItsShareIsRefused() {
+    public void onlyTheCustomerOverItsShareIsRefusedUnderLoad() {
         AdmissionControl control = new AdmissionControl(new SplittableRandom(1));
-        PlacementChoice pressed = choice(5_000);
-        int large = 0;
-        int small = 0;
+        PlacementChoice loaded = choice(5_000);
+        int largeAdmitted = 0;
+        int smallAdmitted = 0;
         for (int i = 0; i < 100; i++) {
             for (int k = 0; k < 10; k++) {
-                large += control.interactive("large", TARGET, pressed, 0) instanceof AdmissionDecision.Admit ? 1 : 0;
+                largeAdmitted +=
+                        control.decideInteractive("large", TARGET, loaded, 0) instanceof AdmissionDecision.Admit
+                                ? 1
+                                : 0;
             }
-            small += control.interactive("small", TARGET, pressed, 0) instanceof AdmissionDecision.Admit ? 1 : 0;
+            smallAdmitted +=
+                    control.decideInteractive("small", TARGET, loaded, 0) instanceof AdmissionDecision.Admit ? 1 : 0;
         }
-        assertEquals(small, 100);
-        assertTrue(large < 150, "the large one got " + large);
+        assertEquals(smallAdmitted, 100);
+        assertTrue(largeAdmitted < 150, "admitted requests of the large customer: " + largeAdmitted);
     }
 
     @Test
-    public void aLoneCustomerIsNeverOverItsShare() {
+    public void singleCustomerIsNeverOverItsShare() {
         FairShare shares = new FairShare();
-        shares.used("a", 1_000_000, 0);
-        assertFalse(shares.isOver("a", 0));
-        shares.used("b", 10, 0);
-        assertTrue(shares.isOver("a", 0));
-        assertFalse(shares.isOver("a", 120_000));
+        shares.recordUsage("a", 1_000_000, 0);
+        assertFalse(shares.isOverShare("a", 0));
+        shares.recordUsage("b", 10, 0);
+        assertTrue(shares.isOverShare("a", 0));
+        assertFalse(shares.isOverShare("a", 120_000));
     }
 
     @DataProvider
-    public Object[][] batch() {
+    public Object[][] batchCases() {
         return new Object[][] {{0, false, true}, {2_000, false, false}, {2_000, true, true}};
     }
 
-    @Test(dataProvider = "batch")
-    public void batchWaitsForSlackUntilItsDeadlinePresses(long waiting, boolean pressing, boolean admitted) {
+    @Test(dataProvider = "batchCases")
+    public void batchRequestWaitsForIdleCapacityUnlessUrgent(long waitingTokens, boolean urgent, boolean admitted) {
         AdmissionControl control = new AdmissionControl(new SplittableRandom(1));
-        AdmissionDecision decision = control.batch(400, choice(waiting), pressing, 0);
+        AdmissionDecision decision = control.decideBatch(400, choice(waitingTokens), urgent, 0);
         assertEquals(decision instanceof AdmissionDecision.Admit, admitted);
     }
 
     @Test
-    public void theEarliestDeadlineGoesFirstAndTheQueueIsBounded() {
+    public void queueIsBoundedAndOrderedByLatestStart() {
         BatchQueue<String> queue = new BatchQueue<>(3);
         assertTrue(queue.offer("late", 300) && queue.offer("early", 100) && queue.offer("middle", 200));
         assertFalse(queue.offer("more", 50));
-        assertTrue(queue.isPressing(100));
-        assertFalse(queue.isPressing(99));
+        assertTrue(queue.isUrgent(100));
+        assertFalse(queue.isUrgent(99));
         assertEquals(queue.poll().orElseThrow(), "early");
         queue.remove("middle");
         assertEquals(queue.poll().orElseThrow(), "late");
--- a/core/src/test/java/org/hornbeamhead/core/crash/CrashGossipTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/crash/CrashGossipTest.java
@@ -7,81 +7,84 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** How soon all routers know what one of them saw, in virtual time. */
+/** Tests how quickly crash reports reach all routers, in virtual time. */
 public class CrashGossipTest {
     private static final RequestFingerprint REQUEST = new RequestFingerprint(1);
-    private static final long CRASH_EVERY_MILLIS = 150;
-    /** The shortest time after which a request that is known to end replicas must be held back everywhere. */
-    private static final long KNOWN_WITHIN_MILLIS = 1_000;
+    private static final long CRASH_INTERVAL_MILLIS = 150;
+    /** The time within which all routers must quarantine a request after its third crash. */
+    private static final long MAX_PROPAGATION_MILLIS = 1_000;
 
     @DataProvider
     public Object[][] fleets() {
         return new Object[][] {{2, 2, 0.0}, {7, 7, 0.0}, {7, 7, 0.3}, {95, 18, 0.05}, {610, 120, 0.05}};
     }
 
-    /** Guards against routers that each count for themselves, so that a request ends three replicas a router. */
+    /** If routers did not share their counts, a request could crash three replicas per router. */
     @Test(dataProvider = "fleets")
-    public void allKnowWithinASecond(int count, int working, double loss) {
+    public void allRoutersQuarantineWithinOneSecond(int count, int working, double loss) {
         GossipingRouters routers = new GossipingRouters(count, working, loss);
-        crashesSeenBy(routers, "r0", "r1", "r" + (count - 1));
-        routers.timers.advance(KNOWN_WITHIN_MILLIS);
-        assertEquals(holding(routers), count);
+        recordCrashes(routers, "r0", "r1", "r" + (count - 1));
+        routers.timers.advance(MAX_PROPAGATION_MILLIS);
+        assertEquals(quarantiningRouters(routers), count);
     }
 
-    /** Guards against work that grows with the fleet: datagrams of the busiest router, when it is new and later. */
+    /** Limits the datagrams of the busiest router, both for new reports and later, whatever the size of the fleet. */
     @Test(dataProvider = "fleets")
-    public void aRouterSendsNoMoreInALargeFleet(int count, int working, double loss) {
+    public void datagramsPerRouterDoNotGrowWithFleetSize(int count, int working, double loss) {
         GossipingRouters routers = new GossipingRouters(count, working, loss);
-        crashesSeenBy(routers, "r0", "r1", "r0");
+        recordCrashes(routers, "r0", "r1", "r0");
         routers.timers.advance(3_000);
-        assertTrue(most(routers) <= 150, "sent " + most(routers));
-        routers.sent.clear();
+        assertTrue(maxSent(routers) <= 150, "datagrams sent by one router: " + maxSent(routers));
+        routers.sentByRouter.clear();
         routers.timers.advance(20_000);
-        assertTrue(most(routers) <= 66, "sent " + most(routers));
+        assertTrue(maxSent(routers) <= 66, "datagrams sent by one router: " + maxSent(routers));
     }
 
-    private static int most(GossipingRouters routers) {
-        return routers.sent.values().stream().mapToInt(Integer::intValue).max().orElse(0);
+    private static int maxSent(GossipingRouters routers) {
+        return routers.sentByRouter.values().stream()
+                .mapToInt(Integer::intValue)
+                .max()
+                .orElse(0);
     }
 
-    /** Guards against routers that were cut off, or started later, and never hear. */
+    /** Routers that were partitioned or restarted must receive reports that were sent while they were unreachable. */
     @Test
-    public void thoseThatWereAwayCatchUp() {
+    public void disconnectedAndRestartedRoutersCatchUp() {
         GossipingRouters routers = new GossipingRouters(7, 7, 0.1);
-        routers.reaches = (from, to) -> !from.equals("r6") && !to.equals("r6");
-        crashesSeenBy(routers, "r0", "r1", "r2");
+        routers.reachable = (from, to) -> !from.equals("r6") && !to.equals("r6");
+        recordCrashes(routers, "r0", "r1", "r2");
         routers.timers.advance(10_000);
-        assertEquals(holding(routers), 6);
+        assertEquals(quarantiningRouters(routers), 6);
         routers.start("r5", 7);
-        routers.reaches = (from, to) -> true;
+        routers.reachable = (from, to) -> true;
         routers.timers.advance(5_000);
-        assertEquals(holding(routers), 7);
+        assertEquals(quarantiningRouters(routers), 7);
     }
 
-    /** Guards against two sides of a cut that each go on counting from what they saw alone. */
+    /** Crashes counted on both sides of a partition must be added up once it heals. */
     @Test
-    public void twoSidesOfACutJoinWhatTheySaw() {
+    public void partitionsMergeTheirReportsAfterHealing() {
         GossipingRouters routers = new GossipingRouters(8, 8, 0);
-        routers.reaches = (from, to) -> (from.charAt(1) - '0') / 4 == (to.charAt(1) - '0') / 4;
-        crashesSeenBy(routers, "r0", "r1", "r7");
+        routers.reachable = (from, to) -> (from.charAt(1) - '0') / 4 == (to.charAt(1) - '0') / 4;
+        recordCrashes(routers, "r0", "r1", "r7");
         routers.timers.advance(5_000);
-        assertEquals(holding(routers), 0);
-        routers.reaches = (from, to) -> true;
+        assertEquals(quarantiningRouters(routers), 0);
+        routers.reachable = (from, to) -> true;
         routers.timers.advance(5_000);
-        assertEquals(holding(routers), 8);
+        assertEquals(quarantiningRouters(routers), 8);
     }
 
-    private static long holding(GossipingRouters routers) {
-        return routers.histories.values().stream()
-                .filter(h -> h.heldMillis(REQUEST).isPresent())
+    private static long quarantiningRouters(GossipingRouters routers) {
+        return routers.historyByRouter.values().stream()
+                .filter(h -> h.quarantineMillis(REQUEST).isPresent())
                 .count();
     }
 
-    private static void crashesSeenBy(GossipingRouters routers, String... names) {
-        IntStream.range(0, names.length).forEach(i -> {
-            routers.timers.advance(CRASH_EVERY_MILLIS);
+    private static void recordCrashes(GossipingRouters routers, String... observers) {
+        IntStream.range(0, observers.length).forEach(i -> {
+            routers.timers.advance(CRASH_INTERVAL_MILLIS);
             long now = routers.clock.monotonicMillis();
-            routers.histories.get(names[i]).crashed(new LostRun(REQUEST, now, now), i);
+            routers.historyByRouter.get(observers[i]).recordCrash(new LostAttempt(REQUEST, now, now), i);
         });
     }
 }
--- a/core/src/test/java/org/hornbeamhead/core/crash/CrashHistoryTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/crash/CrashHistoryTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Which requests are held back, by the replicas that ended under them. */
+/** Tests which requests are quarantined for the replicas that crashed while running them. */
 public class CrashHistoryTest {
     private static final long MINUTE = 60_000;
     private static final RequestFingerprint A = new RequestFingerprint(1);
@@ -23,146 +23,175 @@
     private final ManualClock clock = new ManualClock(1_000_000_000_000L);
     private CrashHistory history;
 
-    /** Starts anew. */
+    /** Creates an empty history. */
     @BeforeMethod
-    public void begin() {
+    public void setUp() {
         history = new CrashHistory(clock);
     }
 
     @DataProvider
-    public Object[][] ends() {
+    public Object[][] crashSets() {
         return new Object[][] {
-            {"one", new int[] {1}, new int[] {}, new int[] {}, List.of()},
-            {"two", new int[] {1, 2}, new int[] {}, new int[] {}, List.of()},
-            {"the same end twice", new int[] {1, 2, 2, 1}, new int[] {}, new int[] {}, List.of()},
-            {"three", new int[] {1, 2, 3}, new int[] {}, new int[] {}, List.of(A)},
-            {"a neighbour at two of them", new int[] {1, 2, 3}, new int[] {2, 3}, new int[] {}, List.of(A)},
-            {"a neighbour at three of four", new int[] {1, 2, 3, 4}, new int[] {2, 3, 4}, new int[] {}, List.of(A)},
-            {"one that cannot be told apart yet", new int[] {1, 2, 3}, new int[] {1, 2, 3}, new int[] {}, List.of()},
+            {"one crash", new int[] {1}, new int[] {}, new int[] {}, List.of()},
+            {"two crashes", new int[] {1, 2}, new int[] {}, new int[] {}, List.of()},
+            {"the same crash reported twice", new int[] {1, 2, 2, 1}, new int[] {}, new int[] {}, List.of()},
+            {"three crashes", new int[] {1, 2, 3}, new int[] {}, new int[] {}, List.of(A)},
             {
-                "two that end replicas, together at first",
+                "another request on two of the three replicas",
+                new int[] {1, 2, 3},
+                new int[] {2, 3},
+                new int[] {},
+                List.of(A)
+            },
+            {
+                "another request on three of four replicas",
+                new int[] {1, 2, 3, 4},
+                new int[] {2, 3, 4},
+                new int[] {},
+                List.of(A)
+            },
+            {
+                "two requests on the same three replicas",
+                new int[] {1, 2, 3},
+                new int[] {1, 2, 3},
+                new int[] {},
+                List.of()
+            },
+            {
+                "two culprits, at first on the same replicas",
                 new int[] {1, 2, 3, 4, 7},
                 new int[] {1, 2, 3, 5, 6},
                 new int[] {},
                 List.of(A, B)
             },
             {
-                "a neighbour of two that end replicas",
+                "another request on replicas of two culprits",
                 new int[] {1, 2, 3, 4},
                 new int[] {5, 6, 7, 8},
                 new int[] {1, 2, 5, 6},
                 List.of(A, B)
             },
             {
-                "a neighbour that met an ordinary crash besides",
+                "another request that also ran during an unrelated crash",
                 new int[] {1, 2, 3, 4},
                 new int[] {2, 3, 9},
                 new int[] {},
                 List.of(A)
             },
-            {"always together, often", new int[] {1, 2, 3, 4}, new int[] {1, 2, 3, 4}, new int[] {}, List.of(A, B)},
+            {
+                "two requests on the same four replicas",
+                new int[] {1, 2, 3, 4},
+                new int[] {1, 2, 3, 4},
+                new int[] {},
+                List.of(A, B)
+            },
         };
     }
 
-    /** Guards against blaming requests that only shared replicas with one that ends them, and against blaming none. */
-    @Test(dataProvider = "ends")
-    public void blamesThoseThatEndReplicas(
-            String what, int[] ofA, int[] ofB, int[] ofC, List<RequestFingerprint> blamed) {
-        crashed(A, ofA);
-        crashed(B, ofB);
-        crashed(C, ofC);
+    /** Culprits must be quarantined, but not requests that merely ran on the same replicas. */
+    @Test(dataProvider = "crashSets")
+    public void quarantinesOnlyRequestsThatCrashReplicas(
+            String description, int[] ofA, int[] ofB, int[] ofC, List<RequestFingerprint> expected) {
+        recordCrashes(A, ofA);
+        recordCrashes(B, ofB);
+        recordCrashes(C, ofC);
         assertEquals(
                 List.of(A, B, C).stream()
-                        .filter(r -> history.heldMillis(r).isPresent())
+                        .filter(r -> history.quarantineMillis(r).isPresent())
                         .toList(),
-                blamed,
-                what);
+                expected,
+                description);
     }
 
-    /** Guards against a request that never runs alone, and so is never blamed. */
+    /** A request that always runs together with others must still be quarantined eventually. */
     @Test
-    public void sixEndsAreEnoughWhateverElseWasThere() {
-        crashed(A, 1, 2, 3, 4, 5, 6, 7);
-        crashed(B, 1, 2, 3, 4, 5);
-        assertFalse(history.heldMillis(B).isPresent());
-        crashed(B, 6);
-        assertTrue(history.heldMillis(B).isPresent());
+    public void sixCrashesSufficeWhateverElseWasRunning() {
+        recordCrashes(A, 1, 2, 3, 4, 5, 6, 7);
+        recordCrashes(B, 1, 2, 3, 4, 5);
+        assertFalse(history.quarantineMillis(B).isPresent());
+        recordCrashes(B, 6);
+        assertTrue(history.quarantineMillis(B).isPresent());
     }
 
-    /** Guards against holding back what runs to its end: a hot page that is under way wherever a replica ends. */
+    /**
+     * A popular page that is running on every replica that crashes must not be quarantined, since it completes
+     * elsewhere.
+     */
     @Test
-    public void aRequestThatRanToItsEndIsCleared() {
-        crashed(A, 1, 2);
-        history.completed(A);
-        crashed(A, 3, 4);
-        assertFalse(history.heldMillis(A).isPresent());
-        crashed(A, 5);
-        assertTrue(history.heldMillis(A).isPresent());
+    public void completedRequestIsExonerated() {
+        recordCrashes(A, 1, 2);
+        history.recordCompletion(A);
+        recordCrashes(A, 3, 4);
+        assertFalse(history.quarantineMillis(A).isPresent());
+        recordCrashes(A, 5);
+        assertTrue(history.quarantineMillis(A).isPresent());
     }
 
-    /** Guards against telling a caller to stay away for long before all routers have told what they saw. */
+    /** A long quarantine must not be announced to callers before the reports of all routers have arrived. */
     @Test
-    public void isHeldBackBrieflyUntilAllHaveTold() {
-        crashed(A, 1, 2, 3);
-        assertEquals(history.heldMillis(A).orElse(0), 1_000);
+    public void quarantineIsShortWhileReportsPropagate() {
+        recordCrashes(A, 1, 2, 3);
+        assertEquals(history.quarantineMillis(A).orElse(0), 1_000);
         clock.advance(2_000);
-        assertEquals(history.heldMillis(A).orElse(0), 10 * MINUTE - 2_000);
+        assertEquals(history.quarantineMillis(A).orElse(0), 10 * MINUTE - 2_000);
     }
 
     /**
-     * Guards against holding a request back for ever, and against beginning to count anew when it ends replicas again.
+     * A quarantine must expire, but the crash count must not restart: one further crash leads to a quarantine twice as
+     * long.
      */
     @Test
-    public void getsOneMoreChanceAfterEachTimeThatIsTwiceAsLong() {
-        crashed(A, 1, 2, 3);
+    public void eachFurtherCrashDoublesTheQuarantine() {
+        recordCrashes(A, 1, 2, 3);
         clock.advance(10 * MINUTE);
-        history.sweep();
-        assertFalse(history.heldMillis(A).isPresent());
-        crashed(A, 4);
+        history.removeExpired();
+        assertFalse(history.quarantineMillis(A).isPresent());
+        recordCrashes(A, 4);
         clock.advance(19 * MINUTE);
-        history.sweep();
-        assertEquals(history.heldMillis(A).orElse(0), MINUTE);
+        history.removeExpired();
+        assertEquals(history.quarantineMillis(A).orElse(0), MINUTE);
         clock.advance(MINUTE);
-        assertFalse(history.heldMillis(A).isPresent());
+        assertFalse(history.quarantineMillis(A).isPresent());
     }
 
-    /** Guards against memory that grows with the requests that met a crash. */
+    /** Memory must not grow with the number of requests that were running during crashes. */
     @Test
-    public void forgetsAndIsBounded() {
-        crashed(A, 1, 2, 3);
-        LongStream.range(100, 20_000).forEach(i -> history.crashed(run(new RequestFingerprint(i), 0), 4));
+    public void historyIsBoundedAndExpires() {
+        recordCrashes(A, 1, 2, 3);
+        LongStream.range(100, 20_000).forEach(i -> history.recordCrash(lostAttempt(new RequestFingerprint(i), 0), 4));
         assertTrue(history.reports().size() <= 4_096);
-        IntStream.range(1_000, 2_000).forEach(i -> history.crashed(run(B, 0), i));
+        IntStream.range(1_000, 2_000).forEach(i -> history.recordCrash(lostAttempt(B, 0), i));
         assertTrue(history.reports().stream().allMatch(r -> r.crashes().size() <= 32));
-        assertTrue(history.heldMillis(A).isPresent());
+        assertTrue(history.quarantineMillis(A).isPresent());
         clock.advance(24 * 60 * MINUTE);
-        history.sweep();
+        history.removeExpired();
         assertTrue(history.isEmpty());
     }
 
-    /** Guards against a result that depends on who told first, or how often. */
+    /** The result of merging must not depend on the order in which reports arrive, or on repeated reports. */
     @Test
-    public void whatRoutersTellIsJoinedInAnyOrder() {
+    public void mergeDoesNotDependOnOrderOrRepetition() {
         CrashHistory other = new CrashHistory(clock);
-        crashed(A, 1, 2);
-        other.crashed(run(A, 0), 2);
+        recordCrashes(A, 1, 2);
+        other.recordCrash(lostAttempt(A, 0), 2);
         clock.advance(150);
-        other.crashed(run(A, 0), 3);
-        other.crashed(run(B, 0), 3);
-        other.completed(B);
+        other.recordCrash(lostAttempt(A, 0), 3);
+        other.recordCrash(lostAttempt(B, 0), 3);
+        other.recordCompletion(B);
         for (int i = 0; i < 2; i++) {
-            List<CrashReport> told = history.reports();
+            List<CrashReport> reports = history.reports();
             other.reports().forEach(history::merge);
-            told.forEach(other::merge);
+            reports.forEach(other::merge);
         }
-        assertTrue(history.heldMillis(A).isPresent() && other.heldMillis(A).isPresent());
-        crashed(B, 4, 5);
-        assertFalse(history.heldMillis(B).isPresent());
+        assertTrue(history.quarantineMillis(A).isPresent()
+                && other.quarantineMillis(A).isPresent());
+        recordCrashes(B, 4, 5);
+        assertFalse(history.quarantineMillis(B).isPresent());
     }
 
-    /** Guards against a content that is read wrongly: requests that differ in one field only. */
+    /** Requests that differ in a single field must have different fingerprints. */
     @Test
-    public void contentsAreToldApart() {
+    public void differentContentsHaveDifferentFingerprints() {
         byte[] body = {1, 2, 3};
         assertEquals(RequestFingerprint.of("/a", "acme", body), RequestFingerprint.of("/a", "acme", body.clone()));
         assertEquals(
@@ -178,57 +207,57 @@
                 5);
     }
 
-    /** Guards against holding back a popular page that was under way at all replicas of a rack that lost its power. */
+    /** A popular page must not be quarantined because it was running on all replicas of a rack that lost power. */
     @Test
-    public void endsAtOneMomentCountOnce() {
-        IntStream.range(0, 20).forEach(r -> history.crashed(run(A, 50L * r), r));
-        assertFalse(history.heldMillis(A).isPresent());
-        crashed(A, 21);
-        assertFalse(history.heldMillis(A).isPresent());
-        crashed(A, 22);
-        assertTrue(history.heldMillis(A).isPresent());
+    public void simultaneousCrashesCountOnce() {
+        IntStream.range(0, 20).forEach(r -> history.recordCrash(lostAttempt(A, 50L * r), r));
+        assertFalse(history.quarantineMillis(A).isPresent());
+        recordCrashes(A, 21);
+        assertFalse(history.quarantineMillis(A).isPresent());
+        recordCrashes(A, 22);
+        assertTrue(history.quarantineMillis(A).isPresent());
     }
 
-    /** Guards against missing a request that is sent to the next replica at once, and ends each within an instant. */
+    /** A request that is retried immediately and crashes each replica within a short time must be detected. */
     @Test
-    public void endsOfRunsThatFollowOneAnotherCountEach() {
+    public void crashesOfConsecutiveAttemptsCountSeparately() {
         IntStream.range(0, 3).forEach(r -> {
-            assertFalse(history.heldMillis(A).isPresent());
+            assertFalse(history.quarantineMillis(A).isPresent());
             clock.advance(60);
-            history.crashed(run(A, 60), r);
+            history.recordCrash(lostAttempt(A, 60), r);
         });
-        assertTrue(history.heldMillis(A).isPresent());
+        assertTrue(history.quarantineMillis(A).isPresent());
     }
 
-    /** Guards against counting fewer ends at routers that only heard of them, each a little later or earlier. */
+    /** Routers that learn of the crashes from reports must count the same, though their timing differs slightly. */
     @Test
-    public void endsOfRunsThatFollowOneAnotherCountAtOtherRoutersToo() {
-        IntStream.of(68, 52, 64).forEach(heardAfter -> {
-            clock.advance(heardAfter);
-            history.merge(new CrashReport(A, List.of(new CrashReport.Crash(heardAfter, 0, 60, false))));
+    public void reportedCrashesOfConsecutiveAttemptsCountSeparately() {
+        IntStream.of(68, 52, 64).forEach(delay -> {
+            clock.advance(delay);
+            history.merge(new CrashReport(A, List.of(new CrashReport.Crash(delay, 0, 60, false))));
         });
-        assertTrue(history.heldMillis(A).isPresent());
+        assertTrue(history.quarantineMillis(A).isPresent());
     }
 
-    /** Guards against blaming a request that was sent over connections whose replicas were gone already. */
+    /** A request that was sent over connections to replicas that were already gone must not be quarantined. */
     @Test
-    public void connectionsThatBreakAtOnceCountAsOneMoment() {
+    public void connectionsThatBreakImmediatelyCountOnce() {
         IntStream.range(0, 12).forEach(r -> {
             clock.advance(5);
-            history.crashed(run(A, 5), r);
+            history.recordCrash(lostAttempt(A, 5), r);
         });
-        assertFalse(history.heldMillis(A).isPresent());
+        assertFalse(history.quarantineMillis(A).isPresent());
     }
 
-    private void crashed(RequestFingerprint request, int... replicas) {
+    private void recordCrashes(RequestFingerprint request, int... replicas) {
         Arrays.stream(replicas).forEach(r -> {
             clock.advance(150);
-            history.crashed(run(request, 0), r);
+            history.recordCrash(lostAttempt(request, 0), r);
         });
     }
 
-    private LostRun run(RequestFingerprint request, long millis) {
+    private LostAttempt lostAttempt(RequestFingerprint request, long runMillis) {
         long now = clock.monotonicMillis();
-        return new LostRun(request, now - millis, now);
+        return new LostAttempt(request, now - runMillis, now);
     }
 }
--- a/core/src/test/java/org/hornbeamhead/core/crash/GossipingRouters.java
+++ b/core/src/test/java/org/hornbeamhead/core/crash/GossipingRouters.java
@@ -9,19 +9,19 @@
 import org.hornbeamhead.core.time.ManualClock;
 import org.hornbeamhead.core.time.ManualTimers;
 
-/** Routers that send one another datagrams, some of which are lost. */
+/** Simulates routers that exchange gossip datagrams over a network with delay, loss and partitions. */
 final class GossipingRouters {
     final ManualClock clock = new ManualClock(0);
     final ManualTimers timers = new ManualTimers(clock);
     final Random random = new Random(4);
-    final Map<String, CrashHistory> histories = new HashMap<>();
-    private final Map<String, CrashGossip> gossips = new HashMap<>();
-    final Map<String, Integer> sent = new HashMap<>();
+    final Map<String, CrashHistory> historyByRouter = new HashMap<>();
+    private final Map<String, CrashGossip> gossipByRouter = new HashMap<>();
+    final Map<String, Integer> sentByRouter = new HashMap<>();
     private static final long DELAY_MILLIS = 2;
 
     final List<String> names;
     private final double loss;
-    BiPredicate<String, String> reaches = (from, to) -> true;
+    BiPredicate<String, String> reachable = (from, to) -> true;
 
     GossipingRouters(int count, int working, double loss) {
         this.names = IntStream.range(0, count).mapToObj(i -> "r" + i).toList();
@@ -36,21 +36,21 @@
                 clock,
                 timers,
                 random,
-                new CrashGossip.Audience(() -> others(name, working), () -> others(name, names.size())),
+                new CrashGossip.Peers(() -> peersOf(name, working), () -> peersOf(name, names.size())),
                 (to, bytes) -> send(name, to, bytes));
-        history.listen(gossip::changed);
-        histories.put(name, history);
-        gossips.put(name, gossip);
+        history.setListener(gossip::reportChanged);
+        historyByRouter.put(name, history);
+        gossipByRouter.put(name, gossip);
     }
 
-    private List<String> others(String name, int count) {
+    private List<String> peersOf(String name, int count) {
         return names.stream().limit(count).filter(n -> !n.equals(name)).toList();
     }
 
     private void send(String from, String to, byte[] bytes) {
-        sent.merge(from, 1, Integer::sum);
-        if (reaches.test(from, to) && random.nextDouble() >= loss) {
-            timers.schedule(DELAY_MILLIS, () -> gossips.get(to).receive(bytes));
+        sentByRouter.merge(from, 1, Integer::sum);
+        if (reachable.test(from, to) && random.nextDouble() >= loss) {
+            timers.schedule(DELAY_MILLIS, () -> gossipByRouter.get(to).receive(bytes));
         }
     }
 }
--- a/core/src/test/java/org/hornbeamhead/core/placement/PrefixPlacementTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/placement/PrefixPlacementTest.java
@@ -162,7 +162,7 @@
                 .toList());
         String third = send(chain).replica().address();
         assertFalse(Set.of(first, second).contains(third));
-        table.find(third).orElseThrow().outlier().unreachable(clock.monotonicMillis());
+        table.find(third).orElseThrow().outlier().recordConnectFailure(clock.monotonicMillis());
         assertFalse(Set.of(first, second, third).contains(send(chain).replica().address()));
     }
 
--- a/core/src/test/java/org/hornbeamhead/core/retry/RetryTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/retry/RetryTest.java
@@ -8,60 +8,62 @@
 import org.testng.annotations.Test;
 
 public class RetryTest {
-    // One of eight replicas dies under full load. Without a budget each of its requests is tried again; with it, tries
-    // beyond the first stay below a tenth of all.
+    /**
+     * One of eight replicas dies under full load. Without a budget each of its requests is retried; with the budget,
+     * retries stay below a tenth of all requests.
+     */
     @Test
-    public void theBudgetBoundsSecondTries() {
+    public void budgetLimitsRetriesToATenth() {
         RetryBudget budget = new RetryBudget();
         SplittableRandom random = new SplittableRandom(5);
-        int firsts = 20_000;
+        int requests = 20_000;
         int retries = 0;
-        int unlimited = 0;
-        for (int i = 0; i < firsts; i++) {
+        int unlimitedRetries = 0;
+        for (int i = 0; i < requests; i++) {
             if (random.nextInt(8) == 0) {
-                unlimited++;
-                retries += budget.tryTake() ? 1 : 0;
+                unlimitedRetries++;
+                retries += budget.tryAcquire() ? 1 : 0;
             } else {
-                budget.succeeded();
+                budget.recordSuccess();
             }
         }
-        assertTrue(unlimited > firsts / 10, "the naive way adds " + unlimited);
-        assertTrue(retries < firsts / 10, "the budget let through " + retries);
+        assertTrue(unlimitedRetries > requests / 10, "retries without a budget: " + unlimitedRetries);
+        assertTrue(retries < requests / 10, "retries with the budget: " + retries);
     }
 
     @Test
-    public void failuresInARowEjectAndOneSuccessForgives() {
-        OutlierGuard guard = new OutlierGuard();
-        guard.failed(0);
-        guard.failed(0);
-        guard.succeeded();
-        guard.failed(0);
-        guard.failed(0);
-        assertFalse(guard.ejected(0));
-        guard.failed(0);
-        assertTrue(guard.ejected(0));
-        assertFalse(guard.ejected(1_000));
-        assertEquals(guard.returnedAtMillis(), 1_000);
+    public void consecutiveFailuresEjectAndOneSuccessResetsTheCount() {
+        OutlierDetector detector = new OutlierDetector();
+        detector.recordFailure(0);
+        detector.recordFailure(0);
+        detector.recordSuccess();
+        detector.recordFailure(0);
+        detector.recordFailure(0);
+        assertFalse(detector.isEjected(0));
+        detector.recordFailure(0);
+        assertTrue(detector.isEjected(0));
+        assertFalse(detector.isEjected(1_000));
+        assertEquals(detector.ejectionEndMillis(), 1_000);
     }
 
-    // A replica that stays dead is tried again less and less often, up to a limit.
+    /** A replica that stays dead is retried at growing intervals, up to a limit. */
     @Test
-    public void ejectionsGrowLonger() {
-        OutlierGuard guard = new OutlierGuard();
+    public void repeatedEjectionsGrowUpToALimit() {
+        OutlierDetector detector = new OutlierDetector();
         long now = 0;
-        long last = 0;
+        long previous = 0;
         for (int i = 0; i < 10; i++) {
-            guard.unreachable(now);
-            long until = guard.returnedAtMillis();
-            assertTrue(until - now >= last && until - now <= 32_000);
-            last = until - now;
+            detector.recordConnectFailure(now);
+            long until = detector.ejectionEndMillis();
+            assertTrue(until - now >= previous && until - now <= 32_000);
+            previous = until - now;
             now = until;
         }
-        assertEquals(last, 32_000);
+        assertEquals(previous, 32_000);
     }
 
     @Test
-    public void delaysGrowAndAreSpread() {
+    public void delaysGrowAndAreRandomized() {
         Backoff backoff = new Backoff(100, 2_000);
         SplittableRandom random = new SplittableRandom(1);
         for (int failures = 0; failures < 40; failures++) {
--- a/core/src/test/java/org/hornbeamhead/core/retry/SharedRetryBudgetTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/retry/SharedRetryBudgetTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.Test;
 
 public class SharedRetryBudgetTest {
-    private static final long WINDOW = 10_000;
+    private static final long WINDOW_MILLIS = 10_000;
 
     @DataProvider
     public Object[][] fleets() {
@@ -16,29 +16,35 @@
     }
 
     /**
-     * All replicas fail, and every router wants to repeat every request. Whatever the number of routers, the repeats of
-     * all of them together stay within the ratio of the requests and the fixed number.
+     * All replicas fail and every router tries to retry every request. For any number of routers, their retries
+     * together stay within the ratio of the requests plus the fixed number.
      */
     @Test(dataProvider = "fleets")
-    public void allRoutersTogetherStayWithinTheBudget(int routers, int requestsEach) {
-        long repeats = IntStream.range(0, routers)
+    public void allRoutersTogetherStayWithinTheSharedBudget(int routers, int requestsEach) {
+        long retries = IntStream.range(0, routers)
                 .mapToLong(r -> {
-                    SharedRetryBudget b = new SharedRetryBudget(0.2, 56, WINDOW);
-                    IntStream.range(0, requestsEach).forEach(i -> b.requested(i * 10L));
+                    SharedRetryBudget budget = new SharedRetryBudget(0.2, 56, WINDOW_MILLIS);
+                    IntStream.range(0, requestsEach).forEach(i -> budget.recordRequest(i * 10L));
                     return IntStream.range(0, 10_000)
-                            .filter(i -> b.tryTake(5_000, 1.0 / routers))
+                            .filter(i -> budget.tryAcquire(5_000, 1.0 / routers))
                             .count();
                 })
                 .sum();
-        assertTrue(repeats <= 0.2 * routers * requestsEach + 56, "repeats: " + repeats);
+        assertTrue(retries <= 0.2 * routers * requestsEach + 56, "retries: " + retries);
     }
 
     @Test
-    public void comesBackWithTheWindow() {
-        SharedRetryBudget b = new SharedRetryBudget(0, 10, WINDOW);
-        long first = IntStream.range(0, 100).filter(i -> b.tryTake(0, 1)).count();
+    public void budgetIsRestoredAfterTheWindow() {
+        SharedRetryBudget budget = new SharedRetryBudget(0, 10, WINDOW_MILLIS);
+        long first =
+                IntStream.range(0, 100).filter(i -> budget.tryAcquire(0, 1)).count();
         assertEquals(first, 7);
-        assertEquals(IntStream.range(0, 100).filter(i -> b.tryTake(8_000, 1)).count(), 0);
-        assertEquals(IntStream.range(0, 100).filter(i -> b.tryTake(11_000, 1)).count(), 7);
+        assertEquals(
+                IntStream.range(0, 100).filter(i -> budget.tryAcquire(8_000, 1)).count(), 0);
+        assertEquals(
+                IntStream.range(0, 100)
+                        .filter(i -> budget.tryAcquire(11_000, 1))
+                        .count(),
+                7);
     }
 }
--- a/core/src/test/java/org/hornbeamhead/core/route/RoutingConfigTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/route/RoutingConfigTest.java
@@ -11,8 +11,9 @@
 import org.testng.annotations.Test;
 
 public class RoutingConfigTest {
-    /** A route for tests. */
-    public static Route route(String name, String host, String prefix, RequestKind kind, boolean resumable, int tries) {
+    /** Returns a route with a single service and test limits. */
+    public static Route route(
+            String name, String host, String prefix, RequestKind kind, boolean resumable, int maxAttempts) {
         return new Route(
                 name,
                 host,
@@ -21,7 +22,7 @@
                 resumable,
                 false,
                 false,
-                new RouteLimits(1_000, 100, 0, tries),
+                new RouteLimits(1_000, 100, 0, maxAttempts),
                 1,
                 List.of(new WeightedService("s", 1)));
     }
@@ -55,25 +56,26 @@
     }
 
     @Test(dataProvider = "paths")
-    public void takesTheLongestPrefixOfTheHost(String host, String path, String expected) {
-        assertEquals(config(false, Map.of()).route(host, path).map(Route::name).orElse("none"), expected);
+    public void longestMatchingPrefixOfTheHostWins(String host, String path, String expected) {
+        assertEquals(
+                config(false, Map.of()).findRoute(host, path).map(Route::name).orElse("none"), expected);
     }
 
     /**
-     * Operators take the last key away. A configuration without keys must not look like one that needs none, or every
-     * caller would be let in.
+     * When operators remove the last key, the configuration must not look like one that requires no keys, or every
+     * caller would be admitted.
      */
     @Test
-    public void keysStayNeededWhenTheLastOneIsTakenAway() {
-        assertTrue(config(true, Map.of()).needsKeys());
-        assertTrue(config(true, Map.of()).owner("k").isEmpty());
+    public void keysStayRequiredAfterTheLastKeyIsRemoved() {
+        assertTrue(config(true, Map.of()).requiresKeys());
+        assertTrue(config(true, Map.of()).findKeyOwner("k").isEmpty());
         KeyOwner owner = new KeyOwner("c", OptionalInt.empty(), false);
-        assertEquals(config(true, Map.of("k", owner)).owner("k").orElseThrow(), owner);
+        assertEquals(config(true, Map.of("k", owner)).findKeyOwner("k").orElseThrow(), owner);
     }
 
     @Test
-    public void spreadsRequestsByWeight() {
-        Route r = new Route(
+    public void requestsAreDistributedByWeight() {
+        Route route = new Route(
                 "r",
                 "h",
                 "/",
@@ -84,9 +86,9 @@
                 new RouteLimits(1, 1, 0, 1),
                 0,
                 List.of(new WeightedService("a", 90), new WeightedService("b", 10)));
-        long b = IntStream.range(0, 1_000)
-                .filter(i -> r.serviceFor(i).equals("b"))
+        long selectedB = IntStream.range(0, 1_000)
+                .filter(i -> route.selectService(i).equals("b"))
                 .count();
-        assertEquals(b, 100);
+        assertEquals(selectedB, 100);
     }
 }
--- a/fuzz/src/test/java/org/hornbeamhead/core/crash/ArchiveReading.java
+++ b/fuzz/src/test/java/org/hornbeamhead/core/crash/ArchiveReading.java
@@ -8,6 +8,6 @@
 
     /** Fails when the reader throws. */
     public static void read(String text) {
-        ArchivedCrashes.read(text, WALL_MILLIS);
+        CrashReportText.decode(text, WALL_MILLIS);
     }
 }
--- a/fuzz/src/test/java/org/hornbeamhead/fuzz/FuzzTargets.java
+++ b/fuzz/src/test/java/org/hornbeamhead/fuzz/FuzzTargets.java
@@ -10,7 +10,7 @@
 import org.hornbeamhead.core.config.OperatorsConfigReader;
 import org.hornbeamhead.core.crash.ArchiveReading;
 import org.hornbeamhead.core.crash.CrashHistory;
-import org.hornbeamhead.core.crash.CrashNews;
+import org.hornbeamhead.core.crash.CrashReportCodec;
 import org.hornbeamhead.core.drain.DrainOrders;
 import org.hornbeamhead.core.engine.WorkHint;
 import org.hornbeamhead.core.ticket.Ticket;
@@ -105,13 +105,13 @@
 
     private static void crashNews(byte[] bytes) {
         CrashHistory history = new CrashHistory(new ManualClock(0));
-        CrashNews.decode(bytes).ifPresent(news -> {
-            assertEquals(CrashNews.decode(CrashNews.encode(news)), Optional.of(news));
+        CrashReportCodec.decode(bytes).ifPresent(news -> {
+            assertEquals(CrashReportCodec.decode(CrashReportCodec.encode(news)), Optional.of(news));
             news.forEach(history::merge);
         });
-        history.sweep();
-        history.held();
-        CrashNews.encode(CrashNews.fitting(history.reports(), CrashNews.DATAGRAM_BYTES));
+        history.removeExpired();
+        history.quarantinedCount();
+        CrashReportCodec.encode(CrashReportCodec.limitToSize(history.reports(), CrashReportCodec.MAX_DATAGRAM_BYTES));
     }
 
     private static void drainOrders(String text) {
--- a/gateway/src/main/java/org/hornbeamhead/gateway/RouterProcess.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/RouterProcess.java
@@ -10,8 +10,8 @@
 import java.io.IOException;
 import java.util.List;
 import java.util.Random;
-import org.hornbeamhead.core.crash.CrashArchive;
 import org.hornbeamhead.core.crash.CrashGossip;
+import org.hornbeamhead.core.crash.CrashHistoryPersister;
 import org.hornbeamhead.core.entry.WorkingRouters;
 import org.hornbeamhead.core.http.WholeRequest;
 import org.hornbeamhead.core.mirror.StoreItem;
@@ -160,7 +160,7 @@
                 ports.store(),
                 registry,
                 datagrams,
-                new CrashGossip.Audience(this::workingHints, routers::hintAddresses),
+                new CrashGossip.Peers(this::workingHints, routers::hintAddresses),
                 metrics);
     }
 
@@ -255,7 +255,7 @@
             routerChanged(item);
             return true;
         }
-        if (item.key().equals(CrashArchive.KEY)) {
+        if (item.key().equals(CrashHistoryPersister.KEY)) {
             quarantine.read(item);
             return true;
         }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/caller/CallerConnection.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/caller/CallerConnection.java
@@ -44,7 +44,7 @@
         this.socket = socket;
         this.front = front;
         this.limits = limits;
-        this.reader = new RequestReader(limits.headerBytes(), limits.bodyBytes());
+        this.reader = new RequestReader(limits.maxHeaderBytes(), limits.maxBodyBytes());
     }
 
     void start() {
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Attempt.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Attempt.java
@@ -5,7 +5,7 @@
 import java.io.ByteArrayOutputStream;
 import java.util.List;
 import java.util.Optional;
-import org.hornbeamhead.core.forward.AttemptEnd;
+import org.hornbeamhead.core.forward.AttemptOutcome;
 import org.hornbeamhead.core.http.ResponseHead;
 import org.hornbeamhead.core.route.Route;
 import org.hornbeamhead.core.stream.CorruptStreamException;
@@ -90,11 +90,11 @@
                     replica.connections().giveBack(taken);
                 }
             } else if (e != null) {
-                replica.guard().unreachable(now());
-                end(AttemptEnd.NOT_SENT, "no connection: " + e.getMessage(), Optional.empty());
+                replica.guard().recordConnectFailure(now());
+                end(AttemptOutcome.NOT_SENT, "no connection: " + e.getMessage(), Optional.empty());
             } else if (weightsOutOfUse()) {
                 replica.connections().giveBack(taken);
-                end(AttemptEnd.NOT_SENT, "weights went out of use while it connected", Optional.empty());
+                end(AttemptOutcome.NOT_SENT, "weights went out of use while it connected", Optional.empty());
             } else {
                 send(taken);
             }
@@ -125,7 +125,7 @@
     /** Nothing has come for longer than predicted: the replica may be gone without a sign. */
     private void doubtReplica() {
         if (!over && head == null) {
-            replica.connections().probe(() -> replica.guard().unreachable(now()));
+            replica.connections().probe(() -> replica.guard().recordConnectFailure(now()));
         }
     }
 
@@ -135,7 +135,7 @@
      */
     private void takeBack() {
         connection.close();
-        end(AttemptEnd.SILENT, "not begun when the weights went out of use", Optional.empty());
+        end(AttemptOutcome.SILENT, "not begun when the weights went out of use", Optional.empty());
     }
 
     /**
@@ -161,7 +161,7 @@
 
     private void endSilent(long millis) {
         replica.connections().distrustKept();
-        closeAndEnd(AttemptEnd.SILENT, "silent for " + millis + " ms");
+        closeAndEnd(AttemptOutcome.SILENT, "silent for " + millis + " ms");
     }
 
     @Override
@@ -172,7 +172,7 @@
         reply.weights().ifPresent(replica::sawWeights);
         boolean own = reply.fromReplica() || reply.notRun() || reply.otherReplica();
         if (!own || (came.ok() && reply.requestId().isEmpty())) {
-            closeAndEnd(AttemptEnd.BROKEN, "the answer bears no proof that it belongs to the request");
+            closeAndEnd(AttemptOutcome.BROKEN, "the answer bears no proof that it belongs to the request");
             return;
         }
         streaming = exchange.streams() && came.ok();
@@ -202,7 +202,7 @@
         try {
             events = cutter.feed(bytes);
         } catch (CorruptStreamException e) {
-            closeAndEnd(AttemptEnd.BROKEN, e.getMessage());
+            closeAndEnd(AttemptOutcome.BROKEN, e.getMessage());
             return Promise.complete();
         }
         return events.isEmpty() ? Promise.complete() : relay(events);
@@ -229,10 +229,10 @@
         if (reply.notRun() || reply.otherReplica()) {
             refused();
         } else if (head.status() >= FIRST_FAILURE) {
-            replica.guard().failed(now());
-            endAndGiveBack(AttemptEnd.FAILED, "the replica answered " + head.status(), Optional.of(buffered));
+            replica.guard().recordFailure(now());
+            endAndGiveBack(AttemptOutcome.FAILED, "the replica answered " + head.status(), Optional.of(buffered));
         } else if (streaming && cutter.insideEvent()) {
-            end(AttemptEnd.BROKEN, "the stream ended inside an event", Optional.empty());
+            end(AttemptOutcome.BROKEN, "the stream ended inside an event", Optional.empty());
         } else {
             deliver();
         }
@@ -241,17 +241,17 @@
     private void refused() {
         boolean misdirected = head.status() == 421;
         if (misdirected && reply.otherReplica()) {
-            replica.guard().unreachable(now());
+            replica.guard().recordConnectFailure(now());
         } else if (!misdirected) {
-            replica.guard().failed(now());
+            replica.guard().recordFailure(now());
         }
-        AttemptEnd how = misdirected ? AttemptEnd.MISDIRECTED : AttemptEnd.REFUSED;
+        AttemptOutcome how = misdirected ? AttemptOutcome.MISDIRECTED : AttemptOutcome.REFUSED;
         endAndGiveBack(how, "the replica did not run it: " + head.status(), Optional.empty());
     }
 
     private void deliver() {
         stop();
-        replica.guard().succeeded();
+        replica.guard().recordSuccess();
         exchange.completed();
         replica.connections().giveBack(connection);
         if (streaming) {
@@ -266,27 +266,27 @@
     @Override
     public void broken(String why) {
         if (!over) {
-            replica.guard().failed(now());
-            end(AttemptEnd.BROKEN, why, Optional.empty());
+            replica.guard().recordFailure(now());
+            end(AttemptOutcome.BROKEN, why, Optional.empty());
         }
     }
 
-    private void closeAndEnd(AttemptEnd how, String why) {
+    private void closeAndEnd(AttemptOutcome how, String why) {
         if (!over) {
-            replica.guard().failed(now());
+            replica.guard().recordFailure(now());
             connection.close();
             end(how, why, Optional.empty());
         }
     }
 
-    private void endAndGiveBack(AttemptEnd how, String why, Optional<BufferedAnswer> failure) {
+    private void endAndGiveBack(AttemptOutcome how, String why, Optional<BufferedAnswer> failure) {
         replica.connections().giveBack(connection);
         end(how, why, failure);
     }
 
-    private void end(AttemptEnd how, String why, Optional<BufferedAnswer> failure) {
+    private void end(AttemptOutcome how, String why, Optional<BufferedAnswer> failure) {
         stop();
-        if (!how.mayHaveRun()) {
+        if (!how.mayHaveExecuted()) {
             target.choice().ifPresent(c -> exchange.dispatcher().picker().refused(replica, c));
         }
         exchange.attemptEnded(how, why, failure);
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Dispatcher.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Dispatcher.java
@@ -12,7 +12,7 @@
 import org.hornbeamhead.core.engine.EngineChoice;
 import org.hornbeamhead.core.engine.WorkHint;
 import org.hornbeamhead.core.entry.WorkingRouters;
-import org.hornbeamhead.core.forward.FinalAnswer;
+import org.hornbeamhead.core.forward.FinalResponse;
 import org.hornbeamhead.core.http.Headers;
 import org.hornbeamhead.core.http.WholeRequest;
 import org.hornbeamhead.core.retry.SharedRetryBudget;
@@ -153,13 +153,13 @@
 
     private void route(RoutingConfig config, CallerRequest request, CallerAnswer answer, long arrivedAt) {
         Optional<Route> route =
-                config.route(request.host(), request.whole().head().path());
+                config.findRoute(request.host(), request.whole().head().path());
         if (route.isEmpty()) {
             deny(request, answer, NOT_FOUND, "no route");
             return;
         }
-        Optional<KeyOwner> owner = request.key().flatMap(config::owner);
-        if (owner.isEmpty() && config.needsKeys() && !route.get().open()) {
+        Optional<KeyOwner> owner = request.key().flatMap(config::findKeyOwner);
+        if (owner.isEmpty() && config.requiresKeys() && !route.get().allowsAnonymous()) {
             deny(request, answer, UNAUTHORIZED, "no customer has this key");
             return;
         }
@@ -182,13 +182,13 @@
     }
 
     private void forward(Asked asked, CallerAnswer answer) {
-        String name = asked.route().serviceFor(draw(asked.request().id()));
-        Optional<ServiceSpec> service = asked.config().service(name);
+        String name = asked.route().selectService(draw(asked.request().id()));
+        Optional<ServiceSpec> service = asked.config().findService(name);
         if (service.isEmpty()) {
             refuseUnrun(asked.request(), answer, "service " + name + " is not configured", UNSURE_RETRY_MILLIS);
             return;
         }
-        budget(name).requested(clock.monotonicMillis());
+        budget(name).recordRequest(clock.monotonicMillis());
         routers.requested(clock.monotonicMillis());
         new Exchange(this, new Subject(asked, service.get()), answer).start();
     }
@@ -208,11 +208,11 @@
     }
 
     boolean takeRepeat(String service) {
-        return budget(service).tryTake(clock.monotonicMillis(), routers.shareOfLimits());
+        return budget(service).tryAcquire(clock.monotonicMillis(), routers.shareOfLimits());
     }
 
     boolean mayRepeat(String service) {
-        return budget(service).canTake(clock.monotonicMillis(), routers.shareOfLimits());
+        return budget(service).canAcquire(clock.monotonicMillis(), routers.shareOfLimits());
     }
 
     void sentToEngine(LiveReplica replica, EngineChoice choice) {
@@ -260,7 +260,7 @@
     void refuseUnrun(CallerRequest request, CallerAnswer answer, String why, long retryAfterMillis) {
         long spread = retryAfterMillis + random.nextLong(Math.min(retryAfterMillis, MAX_SPREAD_MILLIS) + 1);
         Headers headers = Headers.NONE.with("Retry-After", String.format(Locale.ROOT, "%.3f", spread / 1000.0));
-        answer(request, answer, FinalAnswer.NOT_RUN.status(), why, headers);
+        answer(request, answer, FinalResponse.NOT_RUN.status(), why, headers);
     }
 
     void answer(CallerRequest request, CallerAnswer answer, int status, String why, Headers headers) {
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Exchange.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Exchange.java
@@ -8,12 +8,12 @@
 import java.util.OptionalInt;
 import java.util.OptionalLong;
 import java.util.Set;
-import org.hornbeamhead.core.crash.LostRun;
+import org.hornbeamhead.core.crash.LostAttempt;
 import org.hornbeamhead.core.crash.RequestFingerprint;
 import org.hornbeamhead.core.engine.EngineAdmission;
-import org.hornbeamhead.core.forward.AttemptEnd;
-import org.hornbeamhead.core.forward.FinalAnswer;
-import org.hornbeamhead.core.forward.Forwarding;
+import org.hornbeamhead.core.forward.AttemptOutcome;
+import org.hornbeamhead.core.forward.FinalResponse;
+import org.hornbeamhead.core.forward.ForwardingState;
 import org.hornbeamhead.core.forward.NextStep;
 import org.hornbeamhead.core.http.Headers;
 import org.hornbeamhead.core.http.ResponseHead;
@@ -36,7 +36,7 @@
     private final Dispatcher dispatcher;
     private final Subject subject;
     private final CallerAnswer answer;
-    private final Forwarding forwarding;
+    private final ForwardingState forwarding;
     private final Set<String> tried = new HashSet<>();
     private final long arrivedAt;
     private final long deadline;
@@ -51,7 +51,7 @@
         this.dispatcher = dispatcher;
         this.subject = subject;
         this.answer = answer;
-        this.forwarding = new Forwarding(subject.route());
+        this.forwarding = new ForwardingState(subject.route());
         this.arrivedAt = subject.asked().arrivedAt();
         this.deadline = arrivedAt + allowedMillis(subject);
         this.progress = new StreamProgress(subject.request().lastEvent());
@@ -86,7 +86,11 @@
                         .picker()
                         .pick(subject.config(), subject.service(), subject.request(), subject.owner(), tried);
         if (target.isEmpty()) {
-            giveUp(forwarding.atDeadline(false), "no replica can take it", Optional.empty(), RETRY_AFTER_MILLIS);
+            giveUp(
+                    forwarding.responseAtDeadline(false),
+                    "no replica can take it",
+                    Optional.empty(),
+                    RETRY_AFTER_MILLIS);
             return;
         }
         OptionalLong comeBack = tried.isEmpty() ? admission(target.get()) : OptionalLong.empty();
@@ -104,7 +108,7 @@
     /** Replicas ended under the request. It is answered at once: waiting does not change what it does to a replica. */
     private void holdBack(long millis) {
         String why = "replicas ended under requests with content " + fingerprint();
-        giveUp(forwarding.withoutAnotherTry(), why, Optional.empty(), millis);
+        giveUp(forwarding.responseWithoutRetry(), why, Optional.empty(), millis);
     }
 
     /** Whether a replica has the request, or is about to get it, and has sent nothing that shows that it has begun. */
@@ -115,7 +119,7 @@
     /** The request is held back since it was sent. */
     void takeBack() {
         if (attempt.wasSent()) {
-            forwarding.takenBack();
+            forwarding.attemptWithdrawn();
         }
         attempt.abandon();
         attempt = null;
@@ -125,7 +129,7 @@
 
     private OptionalLong admission(Target target) {
         return target.choice()
-                .map(c -> EngineAdmission.refuse(c, subject.route().limits().targetMillis(), timeLeft()))
+                .map(c -> EngineAdmission.refuse(c, subject.route().limits().latencyTargetMillis(), timeLeft()))
                 .orElse(OptionalLong.empty());
     }
 
@@ -150,19 +154,19 @@
      * @param why for the log
      * @param failure the replica's own failure, if it gave one
      */
-    void attemptEnded(AttemptEnd end, String why, Optional<BufferedAnswer> failure) {
+    void attemptEnded(AttemptOutcome end, String why, Optional<BufferedAnswer> failure) {
         LiveReplica replica = attempt.target().replica();
         long sentAt = attempt.sentAt();
         attempt = null;
         if (over) {
             return;
         }
-        Forwarding.Means means = new Forwarding.Means(
+        ForwardingState.RetryConditions means = new ForwardingState.RetryConditions(
                 timeLeft() >= MIN_TIME_LEFT_MILLIS,
                 dispatcher.picker().anyLeft(subject.service(), tried),
                 () -> dispatcher.takeRepeat(subject.service().name()));
         witness(end, replica, sentAt);
-        NextStep step = forwarding.after(end, means);
+        NextStep step = forwarding.nextStep(end, means);
         dispatcher.metrics().count("hornbeam_attempts_failed", "end", end.name());
         logger.atInfo()
                 .with(Logs.REQUEST, subject.request().id())
@@ -178,20 +182,20 @@
         }
     }
 
-    private void witness(AttemptEnd end, LiveReplica replica, long sentAt) {
-        if (end == AttemptEnd.BROKEN) {
+    private void witness(AttemptOutcome end, LiveReplica replica, long sentAt) {
+        if (end == AttemptOutcome.BROKEN) {
             dispatcher.quarantine().broken(lostRun(sentAt), replica);
-        } else if (end == AttemptEnd.SILENT) {
+        } else if (end == AttemptOutcome.SILENT) {
             dispatcher.quarantine().silent(lostRun(sentAt), replica);
         }
     }
 
-    private LostRun lostRun(long sentAt) {
-        return new LostRun(fingerprint(), sentAt, dispatcher.clock().monotonicMillis());
+    private LostAttempt lostRun(long sentAt) {
+        return new LostAttempt(fingerprint(), sentAt, dispatcher.clock().monotonicMillis());
     }
 
-    private String inputs(AttemptEnd end) {
-        String content = end.mayHaveRun() ? " content=" + fingerprint() : "";
+    private String inputs(AttemptOutcome end) {
+        String content = end.mayHaveExecuted() ? " content=" + fingerprint() : "";
         return "millisLeft=" + timeLeft() + " tried=" + tried.size() + content;
     }
 
@@ -206,28 +210,28 @@
         return fingerprint.get();
     }
 
-    private void giveUp(FinalAnswer last, String why, Optional<BufferedAnswer> failure, long retryAfterMillis) {
+    private void giveUp(FinalResponse last, String why, Optional<BufferedAnswer> failure, long retryAfterMillis) {
         finish(last.name());
-        if (last == FinalAnswer.BROKEN_OFF) {
+        if (last == FinalResponse.BROKEN_OFF) {
             answer.abort();
-        } else if (last == FinalAnswer.REPLICA_FAILURE && failure.isPresent()) {
+        } else if (last == FinalResponse.REPLICA_FAILURE && failure.isPresent()) {
             failure.get().deliver(answer);
-        } else if (last == FinalAnswer.NOT_RUN) {
+        } else if (last == FinalResponse.NOT_RUN) {
             dispatcher.refuseUnrun(subject.request(), answer, why, retryAfterMillis);
         } else {
             dispatcher.answer(subject.request(), answer, statusOf(last), why, Headers.NONE);
         }
     }
 
-    private static int statusOf(FinalAnswer last) {
-        return last.status() == 0 ? FinalAnswer.OUTCOME_UNKNOWN.status() : last.status();
+    private static int statusOf(FinalResponse last) {
+        return last.status() == 0 ? FinalResponse.OUTCOME_UNKNOWN.status() : last.status();
     }
 
     private void timeIsOver() {
         if (over) {
             return;
         }
-        FinalAnswer last = forwarding.atDeadline(attempt != null && attempt.wasSent());
+        FinalResponse last = forwarding.responseAtDeadline(attempt != null && attempt.wasSent());
         stopAttempt();
         giveUp(last, "its time is over", Optional.empty(), RETRY_AFTER_MILLIS);
     }
@@ -253,8 +257,8 @@
 
     /** The answer's first bytes go to the caller. */
     void begin(ResponseHead head) {
-        if (!forwarding.hasBegun()) {
-            forwarding.answerBegan();
+        if (!forwarding.hasResponseStarted()) {
+            forwarding.responseStarted();
             times.began(sinceArrival().toMillis());
             answer.begin(head.status(), dispatcher.dialect().toCaller(head));
             dispatcher
@@ -344,7 +348,8 @@
     /** Whether another replica may run the request after this try has been silent. */
     boolean mayTryAgain() {
         return subject.route().repeatable()
-                && forwarding.possibleRuns() + 1 < subject.route().limits().maxAttempts()
+                && forwarding.possibleExecutions() + 1
+                        < subject.route().limits().maxAttempts()
                 && dispatcher.picker().anyLeft(subject.service(), tried);
     }
 
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Patience.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Patience.java
@@ -39,7 +39,7 @@
         if (!mayTryAgain) {
             return UNLIMITED;
         }
-        long target = limits.targetMillis();
+        long target = limits.latencyTargetMillis();
         return streams
                 ? (long) Math.max(target * SILENT_TARGETS, predictedMillis * SILENT_PREDICTIONS)
                 : (long) (target * SILENT_PART_OF_TARGET);
@@ -60,7 +60,7 @@
      * @return milliseconds from its last event
      */
     long pauseMillis() {
-        long pause = limits.pauseMillis();
+        long pause = limits.gapTargetMillis();
         return mayTryAgain && pause > 0 ? (long) (pause * SILENT_PAUSES) : UNLIMITED;
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/TargetPicker.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/TargetPicker.java
@@ -61,7 +61,7 @@
                 .filter(r -> !tried.contains(r.entry().run()))
                 .toList();
         List<LiveReplica> sound =
-                all.stream().filter(r -> !r.guard().ejected(now)).toList();
+                all.stream().filter(r -> !r.guard().isEjected(now)).toList();
         return sound.isEmpty() ? all : sound;
     }
 
@@ -92,7 +92,7 @@
                         r.weights(prompt.model()),
                         weights.settled(prompt.model(), r.weights(prompt.model()), now),
                         r.load(),
-                        spec.memoryTokens(),
+                        spec.kvCapacityTokens(),
                         r.entry().slots(),
                         weights.penalized(prompt.model(), r.weights(prompt.model()), now),
                         weights.usableMillis(prompt.model(), r.weights(prompt.model()), now),
@@ -107,12 +107,12 @@
 
     private static CacheLinks links(EngineSpec engine, RoutingConfig config) {
         return new CacheLinks(
-                CacheLinks.tokensPerMilli(engine.linkMbps(), engine.tokenBytes()),
-                config.promptStores().stream()
+                CacheLinks.tokensPerMilli(engine.linkMbps(), engine.kvTokenBytes()),
+                config.kvCacheStores().stream()
                         .map(s -> new CacheLinks.Store(
                                 s.address(),
                                 s.dataCentre(),
-                                CacheLinks.tokensPerMilli(s.linkMbps(), engine.tokenBytes())))
+                                CacheLinks.tokensPerMilli(s.linkMbps(), engine.kvTokenBytes())))
                         .toList());
     }
 
@@ -124,7 +124,7 @@
     void sent(RoutingConfig config, LiveReplica replica, long beginning, double storeMillis) {
         long now = clock.monotonicMillis();
         String service = replica.entry().service();
-        config.service(service)
+        config.findService(service)
                 .flatMap(ServiceSpec::engine)
                 .map(engine -> links(engine, config))
                 .ifPresent(links -> chooser(service)
--- a/gateway/src/main/java/org/hornbeamhead/gateway/duty/Duties.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/duty/Duties.java
@@ -58,9 +58,9 @@
                 new RolloutPlan(settings.loadsAtOnce(), settings.weightsBound().toMillis()),
                 routers::rank,
                 service -> state.config()
-                        .flatMap(c -> c.service(service))
+                        .flatMap(c -> c.findService(service))
                         .flatMap(ServiceSpec::engine)
-                        .map(EngineSpec::memoryTokens)
+                        .map(EngineSpec::kvCapacityTokens)
                         .orElse(1L),
                 self,
                 settings.holderPause().toMillis());
--- a/gateway/src/main/java/org/hornbeamhead/gateway/quarantine/CrashWitness.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/quarantine/CrashWitness.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.BiConsumer;
-import org.hornbeamhead.core.crash.LostRun;
+import org.hornbeamhead.core.crash.LostAttempt;
 import org.hornbeamhead.core.crash.RequestFingerprint;
 import org.hornbeamhead.core.time.Clock;
 import org.hornbeamhead.core.time.Timers;
@@ -36,13 +36,13 @@
 
     private final Clock clock;
     private final Timers timers;
-    private final BiConsumer<LostRun, LiveReplica> onCrash;
+    private final BiConsumer<LostAttempt, LiveReplica> onCrash;
     private final Map<String, Loss> losses = new HashMap<>();
 
     /** What was lost at one run of a replica. */
     private static final class Loss {
-        private final Map<RequestFingerprint, LostRun> broken = new HashMap<>();
-        private final Map<RequestFingerprint, LostRun> silent = new HashMap<>();
+        private final Map<RequestFingerprint, LostAttempt> broken = new HashMap<>();
+        private final Map<RequestFingerprint, LostAttempt> silent = new HashMap<>();
         private long lastAt;
         private long silentCheckAt = Long.MIN_VALUE / 2;
         private boolean checking;
@@ -57,7 +57,7 @@
      * @param timers the thread's timers
      * @param onCrash takes each run that was under way at a replica that ended, and the replica
      */
-    public CrashWitness(Clock clock, Timers timers, BiConsumer<LostRun, LiveReplica> onCrash) {
+    public CrashWitness(Clock clock, Timers timers, BiConsumer<LostAttempt, LiveReplica> onCrash) {
         this.clock = clock;
         this.timers = timers;
         this.onCrash = onCrash;
@@ -69,7 +69,7 @@
      * @param run the run of the request
      * @param replica where it was under way
      */
-    public void broken(LostRun run, LiveReplica replica) {
+    public void broken(LostAttempt run, LiveReplica replica) {
         if (replica.entry().draining()) {
             return;
         }
@@ -108,7 +108,7 @@
      * @param run the run of the request
      * @param replica where it was under way
      */
-    public void silent(LostRun run, LiveReplica replica) {
+    public void silent(LostAttempt run, LiveReplica replica) {
         if (replica.entry().draining()) {
             return;
         }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/quarantine/Quarantine.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/quarantine/Quarantine.java
@@ -7,10 +7,10 @@
 import java.util.concurrent.CompletionStage;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import org.hornbeamhead.core.crash.CrashArchive;
 import org.hornbeamhead.core.crash.CrashGossip;
 import org.hornbeamhead.core.crash.CrashHistory;
-import org.hornbeamhead.core.crash.LostRun;
+import org.hornbeamhead.core.crash.CrashHistoryPersister;
+import org.hornbeamhead.core.crash.LostAttempt;
 import org.hornbeamhead.core.crash.RequestFingerprint;
 import org.hornbeamhead.core.mirror.StoreItem;
 import org.hornbeamhead.core.time.Clock;
@@ -31,7 +31,7 @@
 
     private final CrashHistory history;
     private final CrashGossip gossip;
-    private final CrashArchive archive;
+    private final CrashHistoryPersister archive;
     private final CrashWitness witness;
     private final Parts parts;
     private Consumer<RequestFingerprint> onHeld = r -> {};
@@ -55,7 +55,7 @@
             PlatformStore store,
             ReplicaRegistry registry,
             PeerDatagrams datagrams,
-            CrashGossip.Audience audience,
+            CrashGossip.Peers audience,
             Metrics metrics) {}
 
     /**
@@ -68,16 +68,16 @@
         history = new CrashHistory(parts.clock());
         gossip = new CrashGossip(
                 history, parts.clock(), parts.timers(), parts.random(), parts.audience(), parts.datagrams()::send);
-        archive = new CrashArchive(parts.clock(), parts.timers(), parts.random(), this::write, history);
+        archive = new CrashHistoryPersister(parts.clock(), parts.timers(), parts.random(), this::write, history);
         witness = new CrashWitness(parts.clock(), parts.timers(), this::crashed);
     }
 
     /** Starts to see replicas go, and to hear of what other routers saw. */
     public void start() {
-        history.listen(this::changed);
+        history.setListener(this::changed);
         parts.registry().onGone(witness::gone);
         parts.datagrams().listen((from, bytes) -> gossip.receive(bytes));
-        parts.metrics().gauge("hornbeam_requests_held_back", history::held);
+        parts.metrics().gauge("hornbeam_requests_held_back", history::quarantinedCount);
     }
 
     /**
@@ -90,48 +90,48 @@
     }
 
     private void changed(RequestFingerprint request) {
-        gossip.changed(request);
-        if (history.heldMillis(request).isPresent()) {
+        gossip.reportChanged(request);
+        if (history.quarantineMillis(request).isPresent()) {
             onHeld.accept(request);
         }
     }
 
-    private void crashed(LostRun run, LiveReplica replica) {
+    private void crashed(LostAttempt run, LiveReplica replica) {
         parts.metrics().count("hornbeam_requests_at_crash");
-        history.crashed(run, replica.hash());
-        archive.crashSeen();
+        history.recordCrash(run, replica.hash());
+        archive.crashRecorded();
     }
 
     /**
      * Takes over what routers have kept in the store.
      *
-     * @param item the key {@link CrashArchive#KEY}
+     * @param item the key {@link CrashHistoryPersister#KEY}
      */
     public void read(StoreItem item) {
-        if (!archive.read(item.revision(), item.value())) {
+        if (!archive.mergeStored(item.revision(), item.value())) {
             logger.atWarning()
                     .with(Logs.INPUTS, "revision=" + item.revision())
                     .log("key %s cannot be read and is passed over", item.key());
         }
     }
 
-    private CompletionStage<CrashArchive.Reply> write(long expectedRevision, String value) {
+    private CompletionStage<CrashHistoryPersister.Reply> write(long expectedRevision, String value) {
         return parts.store()
-                .write(CrashArchive.KEY, OptionalLong.of(expectedRevision), value, Optional.empty())
+                .write(CrashHistoryPersister.KEY, OptionalLong.of(expectedRevision), value, Optional.empty())
                 .map(Quarantine::reply)
                 .toCompletableFuture();
     }
 
-    private static CrashArchive.Reply reply(PlatformStore.WriteReply reply) {
+    private static CrashHistoryPersister.Reply reply(PlatformStore.WriteReply reply) {
         if (reply instanceof PlatformStore.WriteReply.Written written) {
-            return new CrashArchive.Reply.Written(written.revision());
+            return new CrashHistoryPersister.Reply.Written(written.revision());
         }
         if (reply instanceof PlatformStore.WriteReply.Conflict conflict) {
             return conflict.current()
-                    .map(item -> new CrashArchive.Reply.Conflict(item.revision(), item.value()))
-                    .orElseGet(() -> new CrashArchive.Reply.Conflict(0, ""));
+                    .map(item -> new CrashHistoryPersister.Reply.Conflict(item.revision(), item.value()))
+                    .orElseGet(() -> new CrashHistoryPersister.Reply.Conflict(0, ""));
         }
-        return new CrashArchive.Reply.Failed();
+        return new CrashHistoryPersister.Reply.Failed();
     }
 
     /**
@@ -141,7 +141,7 @@
      * @return how long it is held back from now on, in milliseconds; empty when it may run
      */
     public OptionalLong heldMillis(Supplier<RequestFingerprint> request) {
-        return history.heldMillis(request);
+        return history.quarantineMillis(request);
     }
 
     /**
@@ -150,7 +150,7 @@
      * @param request names the request
      */
     public void completed(Supplier<RequestFingerprint> request) {
-        history.completed(request);
+        history.recordCompletion(request);
     }
 
     /**
@@ -159,7 +159,7 @@
      * @param run the run of the request
      * @param replica where it was under way
      */
-    public void broken(LostRun run, LiveReplica replica) {
+    public void broken(LostAttempt run, LiveReplica replica) {
         witness.broken(run, replica);
     }
 
@@ -169,7 +169,7 @@
      * @param run the run of the request
      * @param replica where it was under way
      */
-    public void silent(LostRun run, LiveReplica replica) {
+    public void silent(LostAttempt run, LiveReplica replica) {
         witness.silent(run, replica);
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/replica/LiveReplica.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/replica/LiveReplica.java
@@ -2,13 +2,13 @@
 
 import org.hornbeamhead.core.engine.EngineLoad;
 import org.hornbeamhead.core.replica.ReplicaEntry;
-import org.hornbeamhead.core.retry.OutlierGuard;
+import org.hornbeamhead.core.retry.OutlierDetector;
 
 /** One run of a replica, as this router knows it: its entry, its connections, its work, its failures. */
 public final class LiveReplica {
     private final ReplicaConnections connections;
     private final EngineLoad load = new EngineLoad();
-    private final OutlierGuard guard = new OutlierGuard();
+    private final OutlierDetector guard = new OutlierDetector();
     private ReplicaEntry entry;
     private long knownWeights;
     private boolean withheld;
@@ -73,7 +73,7 @@
      *
      * @return the guard
      */
-    public OutlierGuard guard() {
+    public OutlierDetector guard() {
         return guard;
     }
 
--- a/gateway/src/test/java/org/hornbeamhead/gateway/quarantine/CrashWitnessTest.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/quarantine/CrashWitnessTest.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import org.hornbeamhead.core.crash.LostRun;
+import org.hornbeamhead.core.crash.LostAttempt;
 import org.hornbeamhead.core.crash.RequestFingerprint;
 import org.hornbeamhead.core.replica.ReplicaEntry;
 import org.hornbeamhead.core.time.ManualClock;
@@ -22,7 +22,7 @@
 
 /** Which lost requests count as under way at a replica that ended. */
 public class CrashWitnessTest {
-    private static final LostRun RUN = new LostRun(new RequestFingerprint(1), 0, 60);
+    private static final LostAttempt RUN = new LostAttempt(new RequestFingerprint(1), 0, 60);
     private static final String REPLICA = "r";
     private static final int CHECK_ROUNDS = 6;
 
@@ -36,7 +36,7 @@
     private ReplicaRegistry registry;
     private ServerSocket server;
     private CrashWitness witness;
-    private List<LostRun> reported;
+    private List<LostAttempt> reported;
 
     /** Starts a replica that listens. */
     @BeforeMethod
@@ -117,7 +117,7 @@
         server.close();
         reactor.execute(() -> witness.broken(RUN, replica));
         runChecks();
-        witness.broken(new LostRun(new RequestFingerprint(2), 0, 60), replica);
+        witness.broken(new LostAttempt(new RequestFingerprint(2), 0, 60), replica);
         assertEquals(reported.size(), 2);
     }
 
--- a/gateway/src/test/java/org/hornbeamhead/gateway/replica/ReplicaRegistryTest.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/replica/ReplicaRegistryTest.java
@@ -62,7 +62,7 @@
         LiveReplica before = only();
         before.sawWeights(9);
         before.load().sent("q", 100, 1_000, true, clock.monotonicMillis());
-        before.guard().unreachable(clock.monotonicMillis());
+        before.guard().recordConnectFailure(clock.monotonicMillis());
         news.stream().skip(1).forEach(e -> registry.put(e, 2));
         LiveReplica now = only();
         assertEquals(now.entry().startedAt(), SECOND.startedAt(), name);
@@ -70,7 +70,7 @@
             assertNotSame(now, before);
             assertEquals(now.weights("m"), 4);
             assertEquals(now.load().total(clock.monotonicMillis()), 0);
-            assertFalse(now.guard().ejected(clock.monotonicMillis()));
+            assertFalse(now.guard().isEjected(clock.monotonicMillis()));
         } else {
             assertSame(now, before);
         }
--- a/router/src/main/java/org/hornbeamhead/router/EngineExchange.java
+++ b/router/src/main/java/org/hornbeamhead/router/EngineExchange.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.UUID;
 import java.util.stream.Collectors;
-import org.hornbeamhead.core.crash.LostRun;
+import org.hornbeamhead.core.crash.LostAttempt;
 import org.hornbeamhead.core.outcome.Reason;
 import org.hornbeamhead.core.placement.PlacementChoice;
 import org.hornbeamhead.core.placement.PlacementTarget;
@@ -154,7 +154,7 @@
         int cached = usage.path("prompt_tokens_details").path("cached_tokens").asInt();
         pool.table().ended(choice, cached);
         accounted = true;
-        pool.retries().succeeded();
+        pool.retries().recordSuccess();
         String customer = request.customer().name();
         String name = request.requestClass().name();
         context.metrics().count("hornbeam_prompt_tokens", prompt, "class", name, "customer", customer);
@@ -180,7 +180,7 @@
         }
         if (resumes > 0 && failed.failure() == AttemptFailure.NOT_SENT) {
             // The engine had the request, and now refuses connections: its process has ended.
-            LostRun run = new LostRun(request.fingerprint(), dispatchedMillis, lostMillis);
+            LostAttempt run = new LostAttempt(request.fingerprint(), dispatchedMillis, lostMillis);
             context.quarantine().crashed(run, choice.replica().address());
         }
         return elsewhere(failed);
@@ -198,7 +198,7 @@
         excluded.add(choice.replica().address());
         boolean held = context.quarantine().heldMillis(request::fingerprint).isPresent();
         boolean allowed =
-                !held && attempts < MAX_ATTEMPTS && (!worked || pool.retries().tryTake());
+                !held && attempts < MAX_ATTEMPTS && (!worked || pool.retries().tryAcquire());
         Optional<PlacementChoice> other =
                 allowed ? pool.placement().choose(pool.table(), request.chain(), target, excluded) : Optional.empty();
         if (other.isEmpty()) {
@@ -215,8 +215,8 @@
     private void blame(AttemptFailure failure) {
         long now = context.clock().monotonicMillis();
         switch (failure) {
-            case NOT_SENT -> choice.replica().outlier().unreachable(now);
-            case LOST, CORRUPT -> choice.replica().outlier().failed(now);
+            case NOT_SENT -> choice.replica().outlier().recordConnectFailure(now);
+            case LOST, CORRUPT -> choice.replica().outlier().recordFailure(now);
             case REFUSED, REJECTED -> {
                 // The engine answered, which is no fault.
             }
--- a/router/src/main/java/org/hornbeamhead/router/ModelPipeline.java
+++ b/router/src/main/java/org/hornbeamhead/router/ModelPipeline.java
@@ -84,7 +84,7 @@
             return refuseRunning(request, Refusals.notRun(Reason.NO_REPLICA, COME_BACK));
         }
         AdmissionDecision decision = pool.admission()
-                .interactive(
+                .decideInteractive(
                         request.customer().name(),
                         target,
                         choice.get(),
@@ -149,11 +149,11 @@
 
     private boolean mayStart(EnginePool pool, BatchWait next) {
         long now = context.clock().monotonicMillis();
-        boolean pressing = pool.batch().isPressing(now);
+        boolean pressing = pool.batch().isUrgent(now);
         double tightest = context.config().config().tightestFirstTokenMillis();
         return pool.placement()
                 .choose(pool.table(), next.request().chain(), batchTarget(), Set.of())
-                .map(choice -> pool.admission().batch(tightest, choice, pressing, now))
+                .map(choice -> pool.admission().decideBatch(tightest, choice, pressing, now))
                 .map(AdmissionDecision.Admit.class::isInstance)
                 .orElse(pressing);
     }
--- a/router/src/main/java/org/hornbeamhead/router/PeerNode.java
+++ b/router/src/main/java/org/hornbeamhead/router/PeerNode.java
@@ -8,7 +8,7 @@
 import java.net.InetSocketAddress;
 import java.nio.channels.DatagramChannel;
 import java.util.function.Consumer;
-import org.hornbeamhead.core.crash.CrashNews;
+import org.hornbeamhead.core.crash.CrashReportCodec;
 import org.hornbeamhead.core.membership.GossipMessage;
 import org.hornbeamhead.core.settings.Addresses;
 import org.hornbeamhead.peer.GossipCodec;
@@ -47,7 +47,7 @@
     private void receiveNext() {
         socket.receive().whenResult(packet -> {
             byte[] bytes = packet.getBuf().asArray();
-            if (CrashNews.isNews(bytes)) {
+            if (CrashReportCodec.hasFormatMarker(bytes)) {
                 crashReceiver.accept(bytes);
             } else {
                 GossipCodec.decode(bytes).ifPresent(receiver);
--- a/router/src/main/java/org/hornbeamhead/router/Quarantine.java
+++ b/router/src/main/java/org/hornbeamhead/router/Quarantine.java
@@ -8,10 +8,10 @@
 import java.util.concurrent.CompletionStage;
 import java.util.function.BiConsumer;
 import java.util.function.Supplier;
-import org.hornbeamhead.core.crash.CrashArchive;
 import org.hornbeamhead.core.crash.CrashGossip;
 import org.hornbeamhead.core.crash.CrashHistory;
-import org.hornbeamhead.core.crash.LostRun;
+import org.hornbeamhead.core.crash.CrashHistoryPersister;
+import org.hornbeamhead.core.crash.LostAttempt;
 import org.hornbeamhead.core.crash.RequestFingerprint;
 import org.hornbeamhead.core.store.KeyValueStore;
 import org.hornbeamhead.core.store.StoreReply;
@@ -36,7 +36,7 @@
     private final Metrics metrics;
     private final CrashHistory history;
     private final CrashGossip gossip;
-    private final CrashArchive archive;
+    private final CrashHistoryPersister archive;
 
     Quarantine(
             Clock clock,
@@ -51,15 +51,15 @@
         this.metrics = metrics;
         Random random = new Random();
         history = new CrashHistory(clock);
-        CrashGossip.Audience audience = new CrashGossip.Audience(otherRouters, otherRouters);
+        CrashGossip.Peers audience = new CrashGossip.Peers(otherRouters, otherRouters);
         gossip = new CrashGossip(history, clock, timers, random, audience, send);
-        archive = new CrashArchive(clock, timers, random, this::write, history);
+        archive = new CrashHistoryPersister(clock, timers, random, this::write, history);
     }
 
     /** Starts to tell, and reads what former routers have kept. */
     void start() {
-        history.listen(gossip::changed);
-        metrics.gauge("hornbeam_requests_held_back", history::held);
+        history.setListener(gossip::reportChanged);
+        metrics.gauge("hornbeam_requests_held_back", history::quarantinedCount);
         readKept();
     }
 
@@ -70,28 +70,28 @@
 
     /** Decides how long a request is held back from now on, in milliseconds; empty when it may run. */
     OptionalLong heldMillis(Supplier<RequestFingerprint> request) {
-        return history.heldMillis(request);
+        return history.quarantineMillis(request);
     }
 
     /** A replica ran the request to its end. */
     void completed(Supplier<RequestFingerprint> request) {
-        history.completed(request);
+        history.recordCompletion(request);
     }
 
     /** A replica ended while a request was under way there. */
-    void crashed(LostRun run, String address) {
+    void crashed(LostAttempt run, String address) {
         logger.atInfo()
                 .with(Logs.DECISION, "replica ended")
                 .with(Logs.REPLICA, address)
                 .with(Logs.INPUTS, "content=" + run.request())
                 .log("replica %s ended", address);
         metrics.count("hornbeam_requests_at_crash");
-        history.crashed(run, (address + '@' + clock.wallMillis() / ONE_END_MILLIS).hashCode());
-        archive.crashSeen();
+        history.recordCrash(run, (address + '@' + clock.wallMillis() / ONE_END_MILLIS).hashCode());
+        archive.crashRecorded();
     }
 
     private void readKept() {
-        store.read(CrashArchive.KEY).thenAccept(reply -> {
+        store.read(CrashHistoryPersister.KEY).thenAccept(reply -> {
             if (reply instanceof StoreReply.Found found) {
                 kept(found.entry().version(), found.entry().value());
             } else if (!(reply instanceof StoreReply.Missing)) {
@@ -101,27 +101,27 @@
     }
 
     private void kept(long version, String value) {
-        if (!archive.read(version, value)) {
+        if (!archive.mergeStored(version, value)) {
             logger.atWarning()
                     .with(Logs.INPUTS, "version=" + version)
-                    .log("key %s cannot be read and is passed over", CrashArchive.KEY);
+                    .log("key %s cannot be read and is passed over", CrashHistoryPersister.KEY);
         }
     }
 
-    private CompletionStage<CrashArchive.Reply> write(long expectedVersion, String value) {
-        return store.compareAndSwap(CrashArchive.KEY, expectedVersion, value, Optional.empty())
+    private CompletionStage<CrashHistoryPersister.Reply> write(long expectedVersion, String value) {
+        return store.compareAndSwap(CrashHistoryPersister.KEY, expectedVersion, value, Optional.empty())
                 .thenApply(Quarantine::reply);
     }
 
-    private static CrashArchive.Reply reply(StoreReply reply) {
+    private static CrashHistoryPersister.Reply reply(StoreReply reply) {
         if (reply instanceof StoreReply.Found found) {
-            return new CrashArchive.Reply.Written(found.entry().version());
+            return new CrashHistoryPersister.Reply.Written(found.entry().version());
         }
         if (reply instanceof StoreReply.Conflict conflict) {
             return conflict.current()
-                    .map(entry -> new CrashArchive.Reply.Conflict(entry.version(), entry.value()))
-                    .orElseGet(() -> new CrashArchive.Reply.Conflict(KeyValueStore.ABSENT, ""));
+                    .map(entry -> new CrashHistoryPersister.Reply.Conflict(entry.version(), entry.value()))
+                    .orElseGet(() -> new CrashHistoryPersister.Reply.Conflict(KeyValueStore.ABSENT, ""));
         }
-        return new CrashArchive.Reply.Failed();
+        return new CrashHistoryPersister.Reply.Failed();
     }
 }
--- a/router/src/main/java/org/hornbeamhead/router/RouterStatus.java
+++ b/router/src/main/java/org/hornbeamhead/router/RouterStatus.java
@@ -57,7 +57,7 @@
         node.put("address", replica.address());
         node.put("weights", replica.weights());
         node.put("leaving", replica.endpoint().leaving());
-        node.put("ejected", replica.outlier().ejected(now));
+        node.put("ejected", replica.outlier().isEjected(now));
         node.put("waiting_tokens", Math.round(replica.waitingTokens(now)));
         node.put("streams", replica.streams());
     }
--- a/router/src/main/java/org/hornbeamhead/router/ServicePipeline.java
+++ b/router/src/main/java/org/hornbeamhead/router/ServicePipeline.java
@@ -19,7 +19,7 @@
 import org.hornbeamhead.core.claim.ClaimResult;
 import org.hornbeamhead.core.config.Customer;
 import org.hornbeamhead.core.config.Pool;
-import org.hornbeamhead.core.crash.LostRun;
+import org.hornbeamhead.core.crash.LostAttempt;
 import org.hornbeamhead.core.outcome.Outcome;
 import org.hornbeamhead.core.outcome.Reason;
 import org.hornbeamhead.core.settings.Finding;
@@ -209,7 +209,8 @@
         if (e instanceof ConnectException) {
             return next(call, pool, tries.unsent(address));
         }
-        LostRun run = new LostRun(call.fingerprint(), sentAt, context.clock().monotonicMillis());
+        LostAttempt run =
+                new LostAttempt(call.fingerprint(), sentAt, context.clock().monotonicMillis());
         return context.connections().refused(address).then(ended -> {
             if (ended) {
                 context.quarantine().crashed(run, address);
@@ -222,7 +223,7 @@
         boolean again = !tries.once()
                 && tries.count() < MAX_ATTEMPTS
                 && context.quarantine().heldMillis(call::fingerprint).isEmpty()
-                && pool.retries().tryTake();
+                && pool.retries().tryAcquire();
         return again ? dispatch(call, tries) : refuse(call.head(), tries.refusal(Reason.TRIES_EXHAUSTED, COME_BACK));
     }
 
--- a/router/src/main/java/org/hornbeamhead/router/ServicePool.java
+++ b/router/src/main/java/org/hornbeamhead/router/ServicePool.java
@@ -7,14 +7,14 @@
 import java.util.Optional;
 import java.util.Set;
 import org.hornbeamhead.core.endpoint.Endpoint;
-import org.hornbeamhead.core.retry.OutlierGuard;
+import org.hornbeamhead.core.retry.OutlierDetector;
 import org.hornbeamhead.core.retry.RetryBudget;
 import org.hornbeamhead.core.time.Clock;
 
 /** The replicas of a plain service, chosen by the fewest calls of this router. Owned by the reactor's thread. */
 final class ServicePool {
     private static final class Replica {
-        private final OutlierGuard outlier = new OutlierGuard();
+        private final OutlierDetector outlier = new OutlierDetector();
         private int calls;
         private long lastUse;
     }
@@ -41,7 +41,7 @@
         Optional<String> chosen = endpoints.stream()
                 .filter(e -> !e.leaving() && !excluded.contains(e.address()))
                 .map(Endpoint::address)
-                .filter(a -> !replicas.get(a).outlier.ejected(now))
+                .filter(a -> !replicas.get(a).outlier.isEjected(now))
                 .min(Comparator.<String>comparingInt(a -> replicas.get(a).calls)
                         .thenComparingLong(a -> replicas.get(a).lastUse));
         chosen.map(replicas::get).ifPresent(r -> {
@@ -58,10 +58,10 @@
         }
         replica.calls--;
         if (ok) {
-            replica.outlier.succeeded();
-            retries.succeeded();
+            replica.outlier.recordSuccess();
+            retries.recordSuccess();
         } else {
-            replica.outlier.failed(clock.monotonicMillis());
+            replica.outlier.recordFailure(clock.monotonicMillis());
         }
     }
 
@@ -69,7 +69,7 @@
         Replica replica = replicas.get(address);
         if (replica != null) {
             replica.calls--;
-            replica.outlier.unreachable(clock.monotonicMillis());
+            replica.outlier.recordConnectFailure(clock.monotonicMillis());
         }
     }
 
