--- a/gateway/src/main/java/org/hornbeamhead/gateway/caller/CallerConnection.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/caller/CallerConnection.java
@@ -46,7 +46,7 @@
         this.socket = socket;
         this.server = server;
         this.limits = limits;
-        this.reader = new RequestReader(limits.headerBytes(), limits.bodyBytes());
+        this.reader = new RequestReader(limits.maxHeaderBytes(), limits.maxBodyBytes());
     }
 
     void start() {
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Attempt.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Attempt.java
@@ -5,7 +5,7 @@
 import java.io.ByteArrayOutputStream;
 import java.util.List;
 import java.util.Optional;
-import org.hornbeamhead.core.forward.AttemptEnd;
+import org.hornbeamhead.core.forward.AttemptOutcome;
 import org.hornbeamhead.core.http.ResponseHead;
 import org.hornbeamhead.core.route.Route;
 import org.hornbeamhead.core.stream.CorruptStreamException;
@@ -102,11 +102,11 @@
                     replica.connections().giveBack(acquired);
                 }
             } else if (e != null) {
-                replica.guard().unreachable(now());
-                end(AttemptEnd.NOT_SENT, "no connection: " + e.getMessage(), Optional.empty());
+                replica.guard().recordConnectFailure(now());
+                end(AttemptOutcome.NOT_SENT, "no connection: " + e.getMessage(), Optional.empty());
             } else if (weightsExpired()) {
                 replica.connections().giveBack(acquired);
-                end(AttemptEnd.NOT_SENT, "weights went out of use while it connected", Optional.empty());
+                end(AttemptOutcome.NOT_SENT, "weights went out of use while it connected", Optional.empty());
             } else {
                 send(acquired);
             }
@@ -143,7 +143,7 @@
      */
     private void probeReplica() {
         if (!ended && head == null) {
-            replica.connections().probe(() -> replica.guard().unreachable(now()));
+            replica.connections().probe(() -> replica.guard().recordConnectFailure(now()));
         }
     }
 
@@ -153,7 +153,7 @@
      */
     private void cancelExpired() {
         connection.close();
-        end(AttemptEnd.SILENT, "not begun when the weights went out of use", Optional.empty());
+        end(AttemptOutcome.SILENT, "not begun when the weights went out of use", Optional.empty());
     }
 
     /**
@@ -181,7 +181,7 @@
 
     private void endAsSilent(long millis) {
         replica.connections().distrustKept();
-        closeAndEnd(AttemptEnd.SILENT, "silent for " + millis + " ms");
+        closeAndEnd(AttemptOutcome.SILENT, "silent for " + millis + " ms");
     }
 
     @Override
@@ -194,7 +194,7 @@
         responseInfo.weightsVersion().ifPresent(replica::sawWeights);
         boolean attributable = responseInfo.fromReplica() || responseInfo.notExecuted() || responseInfo.wrongReplica();
         if (!attributable || (received.ok() && responseInfo.requestId().isEmpty())) {
-            closeAndEnd(AttemptEnd.BROKEN, "the answer bears no proof that it belongs to the request");
+            closeAndEnd(AttemptOutcome.BROKEN, "the answer bears no proof that it belongs to the request");
             return;
         }
         streaming = exchange.isStreaming() && received.ok();
@@ -224,7 +224,7 @@
         try {
             events = streamParser.feed(bytes);
         } catch (CorruptStreamException e) {
-            closeAndEnd(AttemptEnd.BROKEN, e.getMessage());
+            closeAndEnd(AttemptOutcome.BROKEN, e.getMessage());
             return Promise.complete();
         }
         return events.isEmpty() ? Promise.complete() : relay(events);
@@ -251,10 +251,10 @@
         if (responseInfo.notExecuted() || responseInfo.wrongReplica()) {
             endRefused();
         } else if (head.status() >= MIN_SERVER_ERROR) {
-            replica.guard().failed(now());
-            releaseAndEnd(AttemptEnd.FAILED, "the replica answered " + head.status(), Optional.of(buffered));
+            replica.guard().recordFailure(now());
+            releaseAndEnd(AttemptOutcome.FAILED, "the replica answered " + head.status(), Optional.of(buffered));
         } else if (streaming && streamParser.insideEvent()) {
-            end(AttemptEnd.BROKEN, "the stream ended inside an event", Optional.empty());
+            end(AttemptOutcome.BROKEN, "the stream ended inside an event", Optional.empty());
         } else {
             deliver();
         }
@@ -263,17 +263,17 @@
     private void endRefused() {
         boolean misdirected = head.status() == 421;
         if (misdirected && responseInfo.wrongReplica()) {
-            replica.guard().unreachable(now());
+            replica.guard().recordConnectFailure(now());
         } else if (!misdirected) {
-            replica.guard().failed(now());
+            replica.guard().recordFailure(now());
         }
-        AttemptEnd outcome = misdirected ? AttemptEnd.MISDIRECTED : AttemptEnd.REFUSED;
+        AttemptOutcome outcome = misdirected ? AttemptOutcome.MISDIRECTED : AttemptOutcome.REFUSED;
         releaseAndEnd(outcome, "the replica did not run it: " + head.status(), Optional.empty());
     }
 
     private void deliver() {
         stop();
-        replica.guard().succeeded();
+        replica.guard().recordSuccess();
         exchange.recordCompletion();
         replica.connections().giveBack(connection);
         if (streaming) {
@@ -288,27 +288,27 @@
     @Override
     public void broken(String reason) {
         if (!ended) {
-            replica.guard().failed(now());
-            end(AttemptEnd.BROKEN, reason, Optional.empty());
+            replica.guard().recordFailure(now());
+            end(AttemptOutcome.BROKEN, reason, Optional.empty());
         }
     }
 
-    private void closeAndEnd(AttemptEnd outcome, String reason) {
+    private void closeAndEnd(AttemptOutcome outcome, String reason) {
         if (!ended) {
-            replica.guard().failed(now());
+            replica.guard().recordFailure(now());
             connection.close();
             end(outcome, reason, Optional.empty());
         }
     }
 
-    private void releaseAndEnd(AttemptEnd outcome, String reason, Optional<BufferedResponse> failure) {
+    private void releaseAndEnd(AttemptOutcome outcome, String reason, Optional<BufferedResponse> failure) {
         replica.connections().giveBack(connection);
         end(outcome, reason, failure);
     }
 
-    private void end(AttemptEnd outcome, String reason, Optional<BufferedResponse> failure) {
+    private void end(AttemptOutcome outcome, String reason, Optional<BufferedResponse> failure) {
         stop();
-        if (!outcome.mayHaveRun()) {
+        if (!outcome.mayHaveExecuted()) {
             target.engineChoice()
                     .ifPresent(c -> exchange.dispatcher().targetSelector().recordRefused(replica, c));
         }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Dispatcher.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Dispatcher.java
@@ -12,7 +12,7 @@
 import org.hornbeamhead.core.engine.EngineChoice;
 import org.hornbeamhead.core.engine.WorkHint;
 import org.hornbeamhead.core.entry.WorkingRouters;
-import org.hornbeamhead.core.forward.FinalAnswer;
+import org.hornbeamhead.core.forward.FinalResponse;
 import org.hornbeamhead.core.http.Headers;
 import org.hornbeamhead.core.http.WholeRequest;
 import org.hornbeamhead.core.retry.SharedRetryBudget;
@@ -166,13 +166,13 @@
 
     private void routeRequest(RoutingConfig config, CallerRequest request, CallerResponse response, long arrivedAt) {
         Optional<Route> route =
-                config.route(request.host(), request.message().head().path());
+                config.findRoute(request.host(), request.message().head().path());
         if (route.isEmpty()) {
             deny(request, response, NOT_FOUND, "no route");
             return;
         }
-        Optional<KeyOwner> owner = request.key().flatMap(config::owner);
-        if (owner.isEmpty() && config.needsKeys() && !route.get().open()) {
+        Optional<KeyOwner> owner = request.key().flatMap(config::findKeyOwner);
+        if (owner.isEmpty() && config.requiresKeys() && !route.get().allowsAnonymous()) {
             deny(request, response, UNAUTHORIZED, "no customer has this key");
             return;
         }
@@ -195,14 +195,14 @@
     }
 
     private void forward(RoutedRequest routed, CallerResponse response) {
-        String name = routed.route().serviceFor(hash(routed.callerRequest().id()));
-        Optional<ServiceSpec> service = routed.config().service(name);
+        String name = routed.route().selectService(hash(routed.callerRequest().id()));
+        Optional<ServiceSpec> service = routed.config().findService(name);
         if (service.isEmpty()) {
             rejectNotExecuted(
                     routed.callerRequest(), response, "service " + name + " is not configured", STALE_RETRY_MILLIS);
             return;
         }
-        budget(name).requested(clock.monotonicMillis());
+        budget(name).recordRequest(clock.monotonicMillis());
         routers.requested(clock.monotonicMillis());
         new Exchange(this, new ServiceRequest(routed, service.get()), response).start();
     }
@@ -222,11 +222,11 @@
     }
 
     boolean takeRetry(String service) {
-        return budget(service).tryTake(clock.monotonicMillis(), routers.shareOfLimits());
+        return budget(service).tryAcquire(clock.monotonicMillis(), routers.shareOfLimits());
     }
 
     boolean canRetry(String service) {
-        return budget(service).canTake(clock.monotonicMillis(), routers.shareOfLimits());
+        return budget(service).canAcquire(clock.monotonicMillis(), routers.shareOfLimits());
     }
 
     void recordEngineSend(LiveReplica replica, EngineChoice choice) {
@@ -275,7 +275,7 @@
     void rejectNotExecuted(CallerRequest request, CallerResponse response, String reason, long retryAfterMillis) {
         long delayMillis = retryAfterMillis + random.nextLong(Math.min(retryAfterMillis, MAX_JITTER_MILLIS) + 1);
         Headers headers = Headers.NONE.with("Retry-After", String.format(Locale.ROOT, "%.3f", delayMillis / 1000.0));
-        respond(request, response, FinalAnswer.NOT_RUN.status(), reason, headers);
+        respond(request, response, FinalResponse.NOT_RUN.status(), reason, headers);
     }
 
     void respond(CallerRequest request, CallerResponse response, int status, String reason, Headers headers) {
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Exchange.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Exchange.java
@@ -8,12 +8,12 @@
 import java.util.OptionalInt;
 import java.util.OptionalLong;
 import java.util.Set;
-import org.hornbeamhead.core.crash.LostRun;
+import org.hornbeamhead.core.crash.LostAttempt;
 import org.hornbeamhead.core.crash.RequestFingerprint;
 import org.hornbeamhead.core.engine.EngineAdmission;
-import org.hornbeamhead.core.forward.AttemptEnd;
-import org.hornbeamhead.core.forward.FinalAnswer;
-import org.hornbeamhead.core.forward.Forwarding;
+import org.hornbeamhead.core.forward.AttemptOutcome;
+import org.hornbeamhead.core.forward.FinalResponse;
+import org.hornbeamhead.core.forward.ForwardingState;
 import org.hornbeamhead.core.forward.NextStep;
 import org.hornbeamhead.core.http.Headers;
 import org.hornbeamhead.core.http.ResponseHead;
@@ -43,7 +43,7 @@
     private final Dispatcher dispatcher;
     private final ServiceRequest serviceRequest;
     private final CallerResponse response;
-    private final Forwarding forwarding;
+    private final ForwardingState forwarding;
     private final Set<String> tried = new HashSet<>();
     private final long arrivedAt;
     private final long deadline;
@@ -58,7 +58,7 @@
         this.dispatcher = dispatcher;
         this.serviceRequest = serviceRequest;
         this.response = response;
-        this.forwarding = new Forwarding(serviceRequest.route());
+        this.forwarding = new ForwardingState(serviceRequest.route());
         this.arrivedAt = serviceRequest.routed().arrivedAt();
         this.deadline = arrivedAt + timeoutMillis(serviceRequest);
         this.progress = new StreamProgress(serviceRequest.callerRequest().lastEventId());
@@ -99,7 +99,7 @@
                                 tried);
         if (target.isEmpty()) {
             sendFinalAnswer(
-                    forwarding.atDeadline(false), "no replica can take it", Optional.empty(), RETRY_AFTER_MILLIS);
+                    forwarding.responseAtDeadline(false), "no replica can take it", Optional.empty(), RETRY_AFTER_MILLIS);
             return;
         }
         OptionalLong retryMillis = tried.isEmpty() ? admissionRetryMillis(target.get()) : OptionalLong.empty();
@@ -120,7 +120,7 @@
     /** Rejects a quarantined request. It is answered at once, since waiting does not change its effect on replicas. */
     private void rejectQuarantined(long millis) {
         String reason = "replicas ended under requests with content " + fingerprint();
-        sendFinalAnswer(forwarding.withoutAnotherTry(), reason, Optional.empty(), millis);
+        sendFinalAnswer(forwarding.responseWithoutRetry(), reason, Optional.empty(), millis);
     }
 
     /**
@@ -136,7 +136,7 @@
     /** Cancels the current attempt because the request was quarantined after the attempt began. */
     void cancelQuarantined() {
         if (attempt.wasSent()) {
-            forwarding.takenBack();
+            forwarding.attemptWithdrawn();
         }
         attempt.cancel();
         attempt = null;
@@ -148,7 +148,7 @@
     private OptionalLong admissionRetryMillis(Target target) {
         return target.engineChoice()
                 .map(c -> EngineAdmission.refuse(
-                        c, serviceRequest.route().limits().targetMillis(), timeLeftMillis()))
+                        c, serviceRequest.route().limits().latencyTargetMillis(), timeLeftMillis()))
                 .orElse(OptionalLong.empty());
     }
 
@@ -174,19 +174,19 @@
      * @param reason why it ended, for the log and the response to the caller
      * @param failure the replica's error response, if it sent one
      */
-    void attemptEnded(AttemptEnd end, String reason, Optional<BufferedResponse> failure) {
+    void attemptEnded(AttemptOutcome end, String reason, Optional<BufferedResponse> failure) {
         LiveReplica replica = attempt.target().replica();
         long sentAt = attempt.sentAt();
         attempt = null;
         if (finished) {
             return;
         }
-        Forwarding.Means retryOptions = new Forwarding.Means(
+        ForwardingState.RetryConditions retryOptions = new ForwardingState.RetryConditions(
                 timeLeftMillis() >= MIN_TIME_LEFT_MILLIS,
                 dispatcher.targetSelector().hasUntried(serviceRequest.service(), tried),
                 () -> dispatcher.takeRetry(serviceRequest.service().name()));
         reportLoss(end, replica, sentAt);
-        NextStep step = forwarding.after(end, retryOptions);
+        NextStep step = forwarding.nextStep(end, retryOptions);
         dispatcher.metrics().count("hornbeam_attempts_failed", "end", end.name());
         logger.atInfo()
                 .with(Logs.REQUEST, serviceRequest.callerRequest().id())
@@ -202,20 +202,20 @@
         }
     }
 
-    private void reportLoss(AttemptEnd end, LiveReplica replica, long sentAt) {
-        if (end == AttemptEnd.BROKEN) {
+    private void reportLoss(AttemptOutcome end, LiveReplica replica, long sentAt) {
+        if (end == AttemptOutcome.BROKEN) {
             dispatcher.quarantine().connectionBroken(lostRun(sentAt), replica);
-        } else if (end == AttemptEnd.SILENT) {
+        } else if (end == AttemptOutcome.SILENT) {
             dispatcher.quarantine().replicaSilent(lostRun(sentAt), replica);
         }
     }
 
-    private LostRun lostRun(long sentAt) {
-        return new LostRun(fingerprint(), sentAt, dispatcher.clock().monotonicMillis());
+    private LostAttempt lostRun(long sentAt) {
+        return new LostAttempt(fingerprint(), sentAt, dispatcher.clock().monotonicMillis());
     }
 
-    private String logInputs(AttemptEnd end) {
-        String content = end.mayHaveRun() ? " content=" + fingerprint() : "";
+    private String logInputs(AttemptOutcome end) {
+        String content = end.mayHaveExecuted() ? " content=" + fingerprint() : "";
         return "millisLeft=" + timeLeftMillis() + " tried=" + tried.size() + content;
     }
 
@@ -231,28 +231,28 @@
     }
 
     private void sendFinalAnswer(
-            FinalAnswer finalAnswer, String reason, Optional<BufferedResponse> failure, long retryAfterMillis) {
+            FinalResponse finalAnswer, String reason, Optional<BufferedResponse> failure, long retryAfterMillis) {
         finish(finalAnswer.name());
-        if (finalAnswer == FinalAnswer.BROKEN_OFF) {
+        if (finalAnswer == FinalResponse.BROKEN_OFF) {
             response.abort();
-        } else if (finalAnswer == FinalAnswer.REPLICA_FAILURE && failure.isPresent()) {
+        } else if (finalAnswer == FinalResponse.REPLICA_FAILURE && failure.isPresent()) {
             failure.get().sendTo(response);
-        } else if (finalAnswer == FinalAnswer.NOT_RUN) {
+        } else if (finalAnswer == FinalResponse.NOT_RUN) {
             dispatcher.rejectNotExecuted(serviceRequest.callerRequest(), response, reason, retryAfterMillis);
         } else {
             dispatcher.respond(serviceRequest.callerRequest(), response, statusOf(finalAnswer), reason, Headers.NONE);
         }
     }
 
-    private static int statusOf(FinalAnswer finalAnswer) {
-        return finalAnswer.status() == 0 ? FinalAnswer.OUTCOME_UNKNOWN.status() : finalAnswer.status();
+    private static int statusOf(FinalResponse finalAnswer) {
+        return finalAnswer.status() == 0 ? FinalResponse.OUTCOME_UNKNOWN.status() : finalAnswer.status();
     }
 
     private void deadlineExpired() {
         if (finished) {
             return;
         }
-        FinalAnswer finalAnswer = forwarding.atDeadline(attempt != null && attempt.wasSent());
+        FinalResponse finalAnswer = forwarding.responseAtDeadline(attempt != null && attempt.wasSent());
         stopAttempt();
         sendFinalAnswer(finalAnswer, "its time is over", Optional.empty(), RETRY_AFTER_MILLIS);
     }
@@ -279,8 +279,8 @@
 
     /** Sends the response head to the caller, unless it was sent already. */
     void beginResponse(ResponseHead head) {
-        if (!forwarding.hasBegun()) {
-            forwarding.answerBegan();
+        if (!forwarding.hasResponseStarted()) {
+            forwarding.responseStarted();
             timings.recordFirst(elapsed().toMillis());
             response.begin(head.status(), dispatcher.headerCodec().callerHeaders(head));
             dispatcher
@@ -374,7 +374,7 @@
     /** Returns whether another replica may run the request if this attempt stays silent. */
     boolean canRetry() {
         return serviceRequest.route().repeatable()
-                && forwarding.possibleRuns() + 1
+                && forwarding.possibleExecutions() + 1
                         < serviceRequest.route().limits().maxAttempts()
                 && dispatcher.targetSelector().hasUntried(serviceRequest.service(), tried);
     }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/SilenceTimeouts.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/SilenceTimeouts.java
@@ -41,7 +41,7 @@
         if (!canRetry) {
             return UNLIMITED;
         }
-        long target = limits.targetMillis();
+        long target = limits.latencyTargetMillis();
         return streaming
                 ? (long) Math.max(target * STREAM_TARGET_MULTIPLE, predictedMillis * PREDICTION_MULTIPLE)
                 : (long) (target * TARGET_FRACTION);
@@ -62,7 +62,7 @@
      * @return the time since the last event, in milliseconds
      */
     long pauseMillis() {
-        long pause = limits.pauseMillis();
+        long pause = limits.gapTargetMillis();
         return canRetry && pause > 0 ? (long) (pause * PAUSE_MULTIPLE) : UNLIMITED;
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/TargetSelector.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/TargetSelector.java
@@ -62,7 +62,7 @@
                 .filter(r -> !tried.contains(r.entry().run()))
                 .toList();
         List<LiveReplica> healthy =
-                untried.stream().filter(r -> !r.guard().ejected(now)).toList();
+                untried.stream().filter(r -> !r.guard().isEjected(now)).toList();
         return healthy.isEmpty() ? untried : healthy;
     }
 
@@ -93,7 +93,7 @@
                         r.weights(prompt.model()),
                         weights.settled(prompt.model(), r.weights(prompt.model()), now),
                         r.load(),
-                        spec.memoryTokens(),
+                        spec.kvCapacityTokens(),
                         r.entry().slots(),
                         weights.penalized(prompt.model(), r.weights(prompt.model()), now),
                         weights.usableMillis(prompt.model(), r.weights(prompt.model()), now),
@@ -113,12 +113,12 @@
 
     private static CacheLinks links(EngineSpec engine, RoutingConfig config) {
         return new CacheLinks(
-                CacheLinks.tokensPerMilli(engine.linkMbps(), engine.tokenBytes()),
-                config.promptStores().stream()
+                CacheLinks.tokensPerMilli(engine.linkMbps(), engine.kvTokenBytes()),
+                config.kvCacheStores().stream()
                         .map(s -> new CacheLinks.Store(
                                 s.address(),
                                 s.dataCentre(),
-                                CacheLinks.tokensPerMilli(s.linkMbps(), engine.tokenBytes())))
+                                CacheLinks.tokensPerMilli(s.linkMbps(), engine.kvTokenBytes())))
                         .toList());
     }
 
@@ -130,7 +130,7 @@
     void recordSent(RoutingConfig config, LiveReplica replica, long beginning, double storeMillis) {
         long now = clock.monotonicMillis();
         String service = replica.entry().service();
-        config.service(service)
+        config.findService(service)
                 .flatMap(ServiceSpec::engine)
                 .map(engine -> links(engine, config))
                 .ifPresent(links -> chooser(service)
--- a/gateway/src/main/java/org/hornbeamhead/gateway/quarantine/CrashDetector.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/quarantine/CrashDetector.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.BiConsumer;
-import org.hornbeamhead.core.crash.LostRun;
+import org.hornbeamhead.core.crash.LostAttempt;
 import org.hornbeamhead.core.crash.RequestFingerprint;
 import org.hornbeamhead.core.time.Clock;
 import org.hornbeamhead.core.time.Timers;
@@ -36,13 +36,13 @@
 
     private final Clock clock;
     private final Timers timers;
-    private final BiConsumer<LostRun, LiveReplica> onCrash;
+    private final BiConsumer<LostAttempt, LiveReplica> onCrash;
     private final Map<String, LostRequests> lostByReplica = new HashMap<>();
 
     /** Requests lost at one run of a replica. */
     private static final class LostRequests {
-        private final Map<RequestFingerprint, LostRun> broken = new HashMap<>();
-        private final Map<RequestFingerprint, LostRun> silent = new HashMap<>();
+        private final Map<RequestFingerprint, LostAttempt> broken = new HashMap<>();
+        private final Map<RequestFingerprint, LostAttempt> silent = new HashMap<>();
         private long lastLossAt;
         private long lastSilentCheckAt = Long.MIN_VALUE / 2;
         private boolean checking;
@@ -57,7 +57,7 @@
      * @param timers the timers of the current thread
      * @param onCrash receives each request run that was lost in a crash, and the replica
      */
-    public CrashDetector(Clock clock, Timers timers, BiConsumer<LostRun, LiveReplica> onCrash) {
+    public CrashDetector(Clock clock, Timers timers, BiConsumer<LostAttempt, LiveReplica> onCrash) {
         this.clock = clock;
         this.timers = timers;
         this.onCrash = onCrash;
@@ -69,7 +69,7 @@
      * @param run the lost run
      * @param replica the replica that ran it
      */
-    public void connectionBroken(LostRun run, LiveReplica replica) {
+    public void connectionBroken(LostAttempt run, LiveReplica replica) {
         if (replica.entry().draining()) {
             return;
         }
@@ -108,7 +108,7 @@
      * @param run the lost run
      * @param replica the replica that ran it
      */
-    public void replicaSilent(LostRun run, LiveReplica replica) {
+    public void replicaSilent(LostAttempt run, LiveReplica replica) {
         if (replica.entry().draining()) {
             return;
         }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/quarantine/Quarantine.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/quarantine/Quarantine.java
@@ -7,10 +7,10 @@
 import java.util.concurrent.CompletionStage;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import org.hornbeamhead.core.crash.CrashArchive;
 import org.hornbeamhead.core.crash.CrashGossip;
 import org.hornbeamhead.core.crash.CrashHistory;
-import org.hornbeamhead.core.crash.LostRun;
+import org.hornbeamhead.core.crash.CrashHistoryPersister;
+import org.hornbeamhead.core.crash.LostAttempt;
 import org.hornbeamhead.core.crash.RequestFingerprint;
 import org.hornbeamhead.core.mirror.StoreItem;
 import org.hornbeamhead.core.time.Clock;
@@ -31,7 +31,7 @@
 
     private final CrashHistory history;
     private final CrashGossip gossip;
-    private final CrashArchive archive;
+    private final CrashHistoryPersister archive;
     private final CrashDetector detector;
     private final Dependencies dependencies;
     private Consumer<RequestFingerprint> onQuarantined = fingerprint -> {};
@@ -55,7 +55,7 @@
             PlatformStore store,
             ReplicaRegistry registry,
             PeerDatagrams datagrams,
-            CrashGossip.Audience audience,
+            CrashGossip.Peers audience,
             Metrics metrics) {}
 
     /**
@@ -73,17 +73,17 @@
                 dependencies.random(),
                 dependencies.audience(),
                 dependencies.datagrams()::send);
-        archive = new CrashArchive(
+        archive = new CrashHistoryPersister(
                 dependencies.clock(), dependencies.timers(), dependencies.random(), this::writeArchive, history);
         detector = new CrashDetector(dependencies.clock(), dependencies.timers(), this::recordCrash);
     }
 
     /** Starts to follow the removal of replicas and the crash reports of other routers. */
     public void start() {
-        history.listen(this::historyChanged);
+        history.setListener(this::historyChanged);
         dependencies.registry().onGone(detector::entryRemoved);
         dependencies.datagrams().listen((from, bytes) -> gossip.receive(bytes));
-        dependencies.metrics().gauge("hornbeam_requests_held_back", history::held);
+        dependencies.metrics().gauge("hornbeam_requests_held_back", history::quarantinedCount);
     }
 
     /**
@@ -97,49 +97,49 @@
     }
 
     private void historyChanged(RequestFingerprint fingerprint) {
-        gossip.changed(fingerprint);
-        if (history.heldMillis(fingerprint).isPresent()) {
+        gossip.reportChanged(fingerprint);
+        if (history.quarantineMillis(fingerprint).isPresent()) {
             onQuarantined.accept(fingerprint);
         }
     }
 
-    private void recordCrash(LostRun run, LiveReplica replica) {
+    private void recordCrash(LostAttempt run, LiveReplica replica) {
         dependencies.metrics().count("hornbeam_requests_at_crash");
-        history.crashed(run, replica.hash());
-        archive.crashSeen();
+        history.recordCrash(run, replica.hash());
+        archive.crashRecorded();
     }
 
     /**
      * Reads the crash reports that routers have archived in the store.
      *
-     * @param item the item under {@link CrashArchive#KEY}
+     * @param item the item under {@link CrashHistoryPersister#KEY}
      */
     public void readArchive(StoreItem item) {
-        if (!archive.read(item.revision(), item.value())) {
+        if (!archive.mergeStored(item.revision(), item.value())) {
             logger.atWarning()
                     .with(Logs.INPUTS, "revision=" + item.revision())
                     .log("key %s cannot be decoded and is ignored", item.key());
         }
     }
 
-    private CompletionStage<CrashArchive.Reply> writeArchive(long expectedRevision, String value) {
+    private CompletionStage<CrashHistoryPersister.Reply> writeArchive(long expectedRevision, String value) {
         return dependencies
                 .store()
-                .write(CrashArchive.KEY, OptionalLong.of(expectedRevision), value, Optional.empty())
+                .write(CrashHistoryPersister.KEY, OptionalLong.of(expectedRevision), value, Optional.empty())
                 .map(Quarantine::toArchiveReply)
                 .toCompletableFuture();
     }
 
-    private static CrashArchive.Reply toArchiveReply(PlatformStore.WriteReply reply) {
+    private static CrashHistoryPersister.Reply toArchiveReply(PlatformStore.WriteReply reply) {
         if (reply instanceof PlatformStore.WriteReply.Written written) {
-            return new CrashArchive.Reply.Written(written.revision());
+            return new CrashHistoryPersister.Reply.Written(written.revision());
         }
         if (reply instanceof PlatformStore.WriteReply.Conflict conflict) {
             return conflict.current()
-                    .map(item -> new CrashArchive.Reply.Conflict(item.revision(), item.value()))
-                    .orElseGet(() -> new CrashArchive.Reply.Conflict(0, ""));
+                    .map(item -> new CrashHistoryPersister.Reply.Conflict(item.revision(), item.value()))
+                    .orElseGet(() -> new CrashHistoryPersister.Reply.Conflict(0, ""));
         }
-        return new CrashArchive.Reply.Failed();
+        return new CrashHistoryPersister.Reply.Failed();
     }
 
     /**
@@ -149,7 +149,7 @@
      * @return the remaining time, in milliseconds; empty when the request may run
      */
     public OptionalLong remainingMillis(Supplier<RequestFingerprint> fingerprint) {
-        return history.heldMillis(fingerprint);
+        return history.quarantineMillis(fingerprint);
     }
 
     /**
@@ -158,7 +158,7 @@
      * @param fingerprint computes the fingerprint of the request
      */
     public void requestCompleted(Supplier<RequestFingerprint> fingerprint) {
-        history.completed(fingerprint);
+        history.recordCompletion(fingerprint);
     }
 
     /**
@@ -167,7 +167,7 @@
      * @param run the lost run
      * @param replica the replica that ran it
      */
-    public void connectionBroken(LostRun run, LiveReplica replica) {
+    public void connectionBroken(LostAttempt run, LiveReplica replica) {
         detector.connectionBroken(run, replica);
     }
 
@@ -177,7 +177,7 @@
      * @param run the lost run
      * @param replica the replica that ran it
      */
-    public void replicaSilent(LostRun run, LiveReplica replica) {
+    public void replicaSilent(LostAttempt run, LiveReplica replica) {
         detector.replicaSilent(run, replica);
     }
 }
--- a/gateway/src/test/java/org/hornbeamhead/gateway/quarantine/CrashDetectorTest.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/quarantine/CrashDetectorTest.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import org.hornbeamhead.core.crash.LostRun;
+import org.hornbeamhead.core.crash.LostAttempt;
 import org.hornbeamhead.core.crash.RequestFingerprint;
 import org.hornbeamhead.core.replica.ReplicaEntry;
 import org.hornbeamhead.core.time.ManualClock;
@@ -22,7 +22,7 @@
 
 /** Tests which lost requests are reported as running at a crashed replica. */
 public class CrashDetectorTest {
-    private static final LostRun RUN = new LostRun(new RequestFingerprint(1), 0, 60);
+    private static final LostAttempt RUN = new LostAttempt(new RequestFingerprint(1), 0, 60);
     private static final String REPLICA = "r";
     private static final int CHECK_ROUNDS = 6;
 
@@ -36,7 +36,7 @@
     private ReplicaRegistry registry;
     private ServerSocket server;
     private CrashDetector detector;
-    private List<LostRun> reported;
+    private List<LostAttempt> reported;
 
     /** Starts a replica that listens on a local port. */
     @BeforeMethod
@@ -121,7 +121,7 @@
         server.close();
         reactor.execute(() -> detector.connectionBroken(RUN, replica));
         runChecks();
-        detector.connectionBroken(new LostRun(new RequestFingerprint(2), 0, 60), replica);
+        detector.connectionBroken(new LostAttempt(new RequestFingerprint(2), 0, 60), replica);
         assertEquals(reported.size(), 2);
     }
 
