--- a/core/src/main/java/org/hornbeamhead/core/mirror/StoreChanges.java
+++ b/core/src/main/java/org/hornbeamhead/core/mirror/StoreChanges.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * What a source tells of the store.
+ * Changes of the store, or a snapshot of it.
  *
- * @param items the changed items, or all present ones
- * @param revision the store's revision up to which this is whole
- * @param whole whether these are all items, so that a key that is not among them is gone
+ * @param items the changed items, or all existing items in a snapshot
+ * @param revision the revision of the store up to which the changes are complete
+ * @param snapshot whether the items are all items of the store, so that any other key is absent
  */
-public record StoreChanges(List<StoreItem> items, long revision, boolean whole) {
-    /** Copies the items, so that the changes cannot change. */
+public record StoreChanges(List<StoreItem> items, long revision, boolean snapshot) {
+    /** Makes an immutable copy of the items. */
     public StoreChanges {
         items = List.copyOf(items);
     }
--- a/core/src/main/java/org/hornbeamhead/core/mirror/StoreMirror.java
+++ b/core/src/main/java/org/hornbeamhead/core/mirror/StoreMirror.java
@@ -13,127 +13,129 @@
 import java.util.stream.Stream;
 
 /**
- * One process's copy of the platform's store, fed by the store itself or by other routers that read it.
+ * An in-memory copy of the platform's store, updated from the store itself or from other routers that read it.
  *
- * <p>Failure: an answer that was overtaken on its way, a read that may be seconds old, or a peer that is behind tells
- * an older state after a newer one. Symptom: a key that was taken away works again, or a route jumps back. Each key
- * keeps the revision of its last change, removals included, and anything older is dropped, so that no source can take
- * the mirror back.
+ * <p>Answers can arrive out of order, a read may be seconds old, and a peer may be behind. If an older state replaced a
+ * newer one, a removed key would become valid again or a route would revert. The mirror therefore keeps the revision of
+ * the last change of each key, including removals, and ignores older changes from any source.
  *
- * <p>Owned by one thread.
+ * <p>Not thread-safe.
  */
 public final class StoreMirror {
     /**
-     * Removals that are remembered, so that other routers can be told of them. Bounds the memory to about 1 MB; a peer
-     * further behind is sent everything.
+     * Maximum number of removals that are kept so that other routers can be informed of them. This bounds the memory to
+     * about 1 MB. A peer that needs older removals is sent a snapshot.
      */
-    static final int MAX_REMOVALS = 4_096;
+    static final int MAX_TOMBSTONES = 4_096;
 
     private final Map<String, StoreItem> items = new TreeMap<>();
-    private final Map<String, StoreItem> removals = new HashMap<>();
+    private final Map<String, StoreItem> tombstones = new HashMap<>();
     private final List<Consumer<StoreItem>> listeners = new ArrayList<>();
     private long revision;
-    private long forgottenUpTo;
+    private long lastDroppedRevision;
     /**
-     * Removals before the last listing are not known, only absent from it. A router that is further behind and was told
-     * of later changes alone would keep what is gone for as long as it lives; it is told everything.
+     * Revision of the last applied snapshot. Removals before it are unknown: the keys are merely absent from the
+     * snapshot. A router with an older revision would keep such keys forever if it were sent only later changes, so it
+     * is sent a snapshot.
      */
-    private long listedAt;
+    private long snapshotRevision;
 
     /**
-     * Adds a listener to each change of a key.
+     * Adds a listener that is called for each change of a key.
      *
-     * @param listener called with the new item, in the order of revisions
+     * @param listener receives the changed items; the items of one update are in the order of their revisions, followed
+     *     by the keys that a snapshot removes
      */
-    public void listen(Consumer<StoreItem> listener) {
+    public void addListener(Consumer<StoreItem> listener) {
         listeners.add(listener);
     }
 
     /**
-     * Takes in what a source tells.
+     * Applies changes or a snapshot to the mirror.
      *
      * @param changes the changes
-     * @return whether the mirror is further than before
+     * @return whether the revision of the mirror has advanced
      */
     public boolean apply(StoreChanges changes) {
-        boolean further = changes.revision() > revision;
+        boolean advanced = changes.revision() > revision;
         changes.items().stream()
                 .sorted(Comparator.comparingLong(StoreItem::revision))
-                .forEach(this::apply);
-        if (changes.whole()) {
+                .forEach(this::applyItem);
+        if (changes.snapshot()) {
             removeAbsent(changes);
-            listedAt = Math.max(listedAt, changes.revision());
+            snapshotRevision = Math.max(snapshotRevision, changes.revision());
         }
         revision = Math.max(revision, changes.revision());
-        return further;
+        return advanced;
     }
 
-    private void apply(StoreItem item) {
-        if (item.revision() <= lastChange(item.key())) {
+    private void applyItem(StoreItem item) {
+        if (item.revision() <= lastChangeRevision(item.key())) {
             return;
         }
         if (item.removed()) {
             items.remove(item.key());
-            remember(item);
+            addTombstone(item);
         } else {
-            removals.remove(item.key());
+            tombstones.remove(item.key());
             items.put(item.key(), item);
         }
         listeners.forEach(l -> l.accept(item));
     }
 
-    private long lastChange(String key) {
-        StoreItem present = items.get(key);
-        if (present != null) {
-            return present.revision();
+    private long lastChangeRevision(String key) {
+        StoreItem item = items.get(key);
+        if (item != null) {
+            return item.revision();
         }
-        StoreItem removed = removals.get(key);
-        return removed == null ? forgottenUpTo : removed.revision();
+        StoreItem tombstone = tombstones.get(key);
+        return tombstone == null ? lastDroppedRevision : tombstone.revision();
     }
 
-    /** A key written after the listing's revision may be missing from it without being gone. */
-    private void removeAbsent(StoreChanges all) {
-        Set<String> present = all.items().stream().map(StoreItem::key).collect(Collectors.toSet());
-        List<StoreItem> gone = items.values().stream()
-                .filter(i -> !present.contains(i.key()) && i.revision() <= all.revision())
+    /** Removes the keys that a snapshot lacks. Keys written after its revision stay: they may be missing from it. */
+    private void removeAbsent(StoreChanges snapshot) {
+        Set<String> presentKeys = snapshot.items().stream().map(StoreItem::key).collect(Collectors.toSet());
+        List<StoreItem> absent = items.values().stream()
+                .filter(i -> !presentKeys.contains(i.key()) && i.revision() <= snapshot.revision())
                 .toList();
-        gone.forEach(i -> apply(new StoreItem(i.key(), Math.max(all.revision(), i.revision() + 1), "", true)));
+        absent.forEach(
+                i -> applyItem(new StoreItem(i.key(), Math.max(snapshot.revision(), i.revision() + 1), "", true)));
     }
 
-    private void remember(StoreItem removal) {
-        removals.put(removal.key(), removal);
-        if (removals.size() > MAX_REMOVALS) {
-            StoreItem oldest = removals.values().stream()
+    private void addTombstone(StoreItem tombstone) {
+        tombstones.put(tombstone.key(), tombstone);
+        if (tombstones.size() > MAX_TOMBSTONES) {
+            StoreItem oldest = tombstones.values().stream()
                     .min(Comparator.comparingLong(StoreItem::revision))
                     .orElseThrow();
-            removals.remove(oldest.key());
-            forgottenUpTo = Math.max(forgottenUpTo, oldest.revision());
+            tombstones.remove(oldest.key());
+            lastDroppedRevision = Math.max(lastDroppedRevision, oldest.revision());
         }
     }
 
     /**
-     * Tells another router what changed.
+     * Returns the changes that another router lacks.
      *
-     * @param after the revision that it has
-     * @return the changes since then, or everything when it is too far behind
+     * @param after the revision of the other router
+     * @return the changes after that revision, or a snapshot if the router is too far behind
      */
-    public StoreChanges since(long after) {
-        if (isTooFarBehind(after)) {
+    public StoreChanges changesSince(long after) {
+        if (needsSnapshot(after)) {
             return new StoreChanges(List.copyOf(items.values()), revision, true);
         }
-        List<StoreItem> changed = Stream.concat(items.values().stream(), removals.values().stream())
+        List<StoreItem> changed = Stream.concat(items.values().stream(), tombstones.values().stream())
                 .filter(i -> i.revision() > after)
                 .toList();
         return new StoreChanges(changed, revision, false);
     }
 
-    /** Whether another router cannot be told of changes alone. */
-    boolean isTooFarBehind(long after) {
-        return after == 0 || after < forgottenUpTo || after < listedAt;
+    /** Returns whether a router at the given revision has to be sent a snapshot instead of changes. */
+    boolean needsSnapshot(long after) {
+        return after == 0 || after < lastDroppedRevision || after < snapshotRevision;
     }
 
-    boolean remembers(String key) {
-        return items.containsKey(key) || removals.containsKey(key);
+    boolean isTracked(String key) {
+        return items.containsKey(key) || tombstones.containsKey(key);
     }
 
     int size() {
@@ -141,29 +143,29 @@
     }
 
     /**
-     * Finds a present item.
+     * Returns the item of a key.
      *
-     * @param key its key
-     * @return the item, empty when the key is absent
+     * @param key the key
+     * @return the item, or empty if the key is absent
      */
     public Optional<StoreItem> get(String key) {
         return Optional.ofNullable(items.get(key));
     }
 
     /**
-     * Lists the present items whose keys begin alike.
+     * Returns the existing items whose keys start with a prefix.
      *
-     * @param prefix the beginning
-     * @return the items in the order of their keys
+     * @param prefix the prefix
+     * @return the items in key order
      */
-    public List<StoreItem> under(String prefix) {
+    public List<StoreItem> withPrefix(String prefix) {
         return items.values().stream().filter(i -> i.key().startsWith(prefix)).toList();
     }
 
     /**
-     * Returns the store's revision up to which the mirror is whole.
+     * Returns the revision of the store up to which the mirror is complete.
      *
-     * @return the revision, 0 before the first listing
+     * @return the revision, or 0 before the first snapshot
      */
     public long revision() {
         return revision;
--- a/core/src/test/java/org/hornbeamhead/core/mirror/StoreMirrorTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/mirror/StoreMirrorTest.java
@@ -20,99 +20,101 @@
         return new StoreItem(key, revision, "", true);
     }
 
-    private static StoreChanges some(long revision, StoreItem... items) {
+    private static StoreChanges changes(long revision, StoreItem... items) {
         return new StoreChanges(List.of(items), revision, false);
     }
 
-    private static StoreChanges all(long revision, StoreItem... items) {
+    private static StoreChanges snapshot(long revision, StoreItem... items) {
         return new StoreChanges(List.of(items), revision, true);
     }
 
     /**
-     * A key is taken away. Then an answer that was sent before arrives late, or a peer that is behind tells what it
-     * knows. The key must stay away, whoever tells of it and in whatever order.
+     * After the removal of a key, a delayed answer or a peer that is behind reports the key as present. It must stay
+     * removed, whatever the source and the order of the reports.
      */
     @Test
-    public void nothingOlderUndoesANewerChange() {
+    public void olderChangesDoNotReplaceNewerOnes() {
         StoreMirror m = new StoreMirror();
-        m.apply(some(5, item("k", 5, "old")));
-        m.apply(some(8, removal("k", 8)));
-        m.apply(some(5, item("k", 5, "old")));
-        m.apply(all(6, item("k", 6, "older listing")));
+        m.apply(changes(5, item("k", 5, "old")));
+        m.apply(changes(8, removal("k", 8)));
+        m.apply(changes(5, item("k", 5, "old")));
+        m.apply(snapshot(6, item("k", 6, "older snapshot")));
         assertTrue(m.get("k").isEmpty());
         assertEquals(m.revision(), 8);
-        m.apply(some(9, item("k", 9, "new")));
-        m.apply(some(7, removal("k", 7)));
+        m.apply(changes(9, item("k", 9, "new")));
+        m.apply(changes(7, removal("k", 7)));
         assertEquals(m.get("k").orElseThrow().value(), "new");
     }
 
     /**
-     * The store lost its history, so everything is read again. What was removed meanwhile is only missing from the
-     * listing; what was written after the listing began may be missing too and must stay.
+     * The store no longer has its history, so a snapshot is read. Keys that were removed meanwhile are absent from the
+     * snapshot and must be removed. Keys that were written after its revision may be absent too, and must stay.
      */
     @Test
-    public void aListingRemovesWhatItLacksUnlessItIsNewer() {
+    public void snapshotRemovesAbsentKeysUnlessNewer() {
         StoreMirror m = new StoreMirror();
-        List<String> heard = new ArrayList<>();
-        m.apply(some(4, item("gone", 3, "a"), item("stays", 4, "b")));
-        m.apply(some(12, item("written later", 12, "c")));
-        m.listen(i -> heard.add(i.key() + (i.removed() ? " removed" : " set")));
-        m.apply(all(10, item("stays", 4, "b"), item("new", 9, "d")));
-        assertEquals(heard, List.of("new set", "gone removed"));
+        List<String> events = new ArrayList<>();
+        m.apply(changes(4, item("gone", 3, "a"), item("stays", 4, "b")));
+        m.apply(changes(12, item("written later", 12, "c")));
+        m.addListener(i -> events.add(i.key() + (i.removed() ? " removed" : " set")));
+        m.apply(snapshot(10, item("stays", 4, "b"), item("new", 9, "d")));
+        assertEquals(events, List.of("new set", "gone removed"));
         assertTrue(m.get("written later").isPresent());
     }
 
     /**
-     * Requests go to a replica that is gone, for as long as a router lives. The store turns the router away; the
-     * replica's key is removed; another router starts after that, so that its first listing lacks the key and tells of
-     * no removal. What it tells the first router must take the key away there, too.
+     * A router loses its connection to the store, and the key of a replica is removed meanwhile. Another router starts
+     * afterwards, so its first snapshot lacks the key and it never sees the removal. Its changes must still remove the
+     * key at the first router, which would otherwise send requests to the missing replica for as long as it runs.
      */
     @Test
-    public void aRouterThatStartedLaterTellsOfRemovalsThatItNeverSaw() {
-        StoreMirror turnedAway = new StoreMirror();
-        turnedAway.apply(all(100, item("gone", 50, "a"), item("stays", 60, "b")));
-        StoreMirror startedLater = new StoreMirror();
-        startedLater.apply(all(120, item("stays", 60, "b")));
-        startedLater.apply(some(125, item("new", 125, "c")));
-        turnedAway.apply(startedLater.since(turnedAway.revision()));
-        assertTrue(turnedAway.get("gone").isEmpty());
-        assertTrue(turnedAway.get("stays").isPresent());
-        assertTrue(turnedAway.get("new").isPresent());
-        assertFalse(startedLater.since(120).whole(), "what came after the listing needs no whole one");
+    public void changesFromLaterStartedRouterIncludeUnseenRemovals() {
+        StoreMirror disconnected = new StoreMirror();
+        disconnected.apply(snapshot(100, item("gone", 50, "a"), item("stays", 60, "b")));
+        StoreMirror laterStarted = new StoreMirror();
+        laterStarted.apply(snapshot(120, item("stays", 60, "b")));
+        laterStarted.apply(changes(125, item("new", 125, "c")));
+        disconnected.apply(laterStarted.changesSince(disconnected.revision()));
+        assertTrue(disconnected.get("gone").isEmpty());
+        assertTrue(disconnected.get("stays").isPresent());
+        assertTrue(disconnected.get("new").isPresent());
+        assertFalse(
+                laterStarted.changesSince(120).snapshot(), "changes after the snapshot must not need another snapshot");
     }
 
     @Test
-    public void tellsAnotherRouterWhatChanged() {
+    public void changesSinceUpdatesAnotherMirror() {
         StoreMirror m = new StoreMirror();
-        m.apply(some(3, item("a", 1, "x"), item("b", 3, "y")));
-        m.apply(some(4, removal("a", 4)));
+        m.apply(changes(3, item("a", 1, "x"), item("b", 3, "y")));
+        m.apply(changes(4, removal("a", 4)));
         StoreMirror other = new StoreMirror();
-        other.apply(m.since(0));
+        other.apply(m.changesSince(0));
         assertTrue(other.get("a").isEmpty());
         assertEquals(other.revision(), 4);
-        m.apply(some(6, item("c", 5, "z"), removal("b", 6)));
-        StoreChanges news = m.since(4);
-        assertFalse(news.whole());
-        assertEquals(news.items().size(), 2);
-        other.apply(news);
+        m.apply(changes(6, item("c", 5, "z"), removal("b", 6)));
+        StoreChanges update = m.changesSince(4);
+        assertFalse(update.snapshot());
+        assertEquals(update.items().size(), 2);
+        other.apply(update);
         assertTrue(other.get("b").isEmpty());
         assertEquals(other.get("c").orElseThrow().value(), "z");
     }
 
     /**
-     * A router was away for longer than removals are remembered: it is sent everything, so that nothing stays behind.
+     * The mirror no longer keeps all removals that a router missed. The router must be sent a snapshot, or it would
+     * keep removed keys.
      */
     @Test
-    public void aRouterFarBehindIsSentEverything() {
+    public void sendsSnapshotToRouterFarBehind() {
         StoreMirror m = new StoreMirror();
-        LongStream.range(1, 6_000).forEach(r -> m.apply(some(r, removal("k" + r, r))));
-        assertTrue(m.since(10).whole());
-        assertFalse(m.since(5_990).whole());
+        LongStream.range(1, 6_000).forEach(r -> m.apply(changes(r, removal("k" + r, r))));
+        assertTrue(m.changesSince(10).snapshot());
+        assertFalse(m.changesSince(5_990).snapshot());
     }
 
     @Test
-    public void listsByPrefix() {
-        mirror.apply(some(3, item("a/1", 1, ""), item("a/2", 2, ""), item("b/1", 3, "")));
-        assertEquals(mirror.under("a/").size(), 2);
+    public void listsItemsWithPrefix() {
+        mirror.apply(changes(3, item("a/1", 1, ""), item("a/2", 2, ""), item("b/1", 3, "")));
+        assertEquals(mirror.withPrefix("a/").size(), 2);
     }
 }
--- a/fuzz/src/test/java/org/hornbeamhead/gateway/state/PeerReading.java
+++ b/fuzz/src/test/java/org/hornbeamhead/gateway/state/PeerReading.java
@@ -19,7 +19,7 @@
                 .forEach(answer -> assertEquals(
                         MirrorAnswer.decode(Json.write(answer.encode())).get(), answer));
         RouterList routers = new RouterList(SELF, () -> true, new ManualClock(0));
-        routers.changed(new StoreItem(RouterEntry.PREFIX + "n2", 1, text, false));
+        routers.update(new StoreItem(RouterEntry.PREFIX + "n2", 1, text, false));
         routers.callerAddresses(8, 1_000);
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/RouterProcess.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/RouterProcess.java
@@ -32,16 +32,16 @@
 import org.hornbeamhead.gateway.duty.SteerNotice;
 import org.hornbeamhead.gateway.quarantine.Quarantine;
 import org.hornbeamhead.gateway.replica.ReplicaRegistry;
-import org.hornbeamhead.gateway.state.MirrorCalls;
+import org.hornbeamhead.gateway.state.HttpMirrorClient;
 import org.hornbeamhead.gateway.state.MirrorServer;
 import org.hornbeamhead.gateway.state.PeerDatagrams;
 import org.hornbeamhead.gateway.state.PlatformStore;
 import org.hornbeamhead.gateway.state.RouterEntry;
 import org.hornbeamhead.gateway.state.RouterList;
-import org.hornbeamhead.gateway.state.RouterPresence;
+import org.hornbeamhead.gateway.state.RouterRegistration;
 import org.hornbeamhead.gateway.state.RoutingState;
 import org.hornbeamhead.gateway.state.StoreView;
-import org.hornbeamhead.gateway.state.SuspensionWatch;
+import org.hornbeamhead.gateway.state.SuspensionDetector;
 import org.hornbeamhead.gateway.state.WeightsListener;
 import org.hornbeamhead.gateway.state.WeightsView;
 import org.hornbeamhead.gateway.state.WorkHints;
@@ -65,8 +65,8 @@
     private final WeightsListener names;
     private final RouterList routers;
     private final WorkingRouters working;
-    private final RouterPresence presence;
-    private final SuspensionWatch suspensions;
+    private final RouterRegistration presence;
+    private final SuspensionDetector suspensions;
     private final StoreView view;
     private final SteerNotice notice;
     private final Duties duties;
@@ -106,8 +106,8 @@
         names = new WeightsListener(clock, mirror, state, weights);
         routers = new RouterList(settings.self(), this::ready, clock);
         working = new WorkingRouters(routers::count);
-        presence = new RouterPresence(reactor, ports.store(), settings.self());
-        suspensions = new SuspensionWatch(daemon.timers(), clock, this::stoodStill);
+        presence = new RouterRegistration(reactor, ports.store(), settings.self());
+        suspensions = new SuspensionDetector(daemon.timers(), clock, this::stoodStill);
         view = new StoreView(new StoreView.Parts(
                 daemon.timers(),
                 clock,
@@ -120,8 +120,8 @@
                 routers,
                 settings.self().node(),
                 this::peerAddresses,
-                MirrorCalls.toReaders(reactor),
-                MirrorCalls.toAnyone(reactor)));
+                HttpMirrorClient.forReaders(reactor),
+                HttpMirrorClient.forPeers(reactor)));
         notice = new SteerNotice(reactor, clock, this::workingPeers, weights, registry);
         duties = new Duties(
                 new Duties.Parts(
@@ -149,7 +149,7 @@
         dispatcher.tell(hints);
         front = new CallerFront(reactor, this::handle, this::limits, metrics);
         shutdown = new Shutdown(daemon, front, presence, duties, settings.grace());
-        mirror.listen(this::changed);
+        mirror.addListener(this::changed);
     }
 
     private Quarantine.Parts quarantineParts(Ports ports, Random random) {
@@ -165,9 +165,9 @@
     }
 
     private void stoodStill(long millis) {
-        state.doubt(millis, clock.monotonicMillis());
-        weights.doubt(millis);
-        view.introduceAgain();
+        state.addSuspendedTime(millis, clock.monotonicMillis());
+        weights.addSuspendedTime(millis);
+        view.restartBootstrap();
     }
 
     private void handle(WholeRequest request, CallerAnswer answer) {
@@ -187,7 +187,7 @@
     }
 
     private List<String> workingPeers() {
-        return routers.peerAddressesOf(workingHints(), settings.seeds());
+        return routers.peerAddressesForHints(workingHints(), settings.seeds());
     }
 
     private List<String> workingHints() {
@@ -208,7 +208,7 @@
         metrics.gauge("hornbeam_requests_in_flight", front::inFlight);
         metrics.gauge("hornbeam_caller_connections", front::connections);
         metrics.gauge("hornbeam_replicas", () -> registry.all().size());
-        metrics.gauge("hornbeam_store_away", () -> view.away() ? 1 : 0);
+        metrics.gauge("hornbeam_store_away", () -> view.isDisconnected() ? 1 : 0);
         metrics.gauge("hornbeam_reads_store", () -> view.readsStore() ? 1 : 0);
         metrics.gauge("hornbeam_uncaught_errors", daemon::uncaughtErrors);
         quarantine.start();
@@ -227,7 +227,7 @@
     private Promise<HttpResponse> answerPeer(HttpRequest request) throws Exception {
         AsyncServlet servlet =
                 switch (request.getPath()) {
-                    case MirrorServer.PATH -> view::answer;
+                    case MirrorServer.PATH -> view::handle;
                     case SteerNotice.PATH -> notice::answer;
                     default -> r -> HttpAnswers.text(404, "text/plain", "no such path\n");
                 };
@@ -244,7 +244,7 @@
 
     private void passOn(StoreItem item) {
         if (takeOver(item)) {
-            view.changed(item);
+            view.recordChange(item);
             duties.look();
         }
     }
@@ -267,7 +267,7 @@
             case WEIGHTS -> documents
                     .weights(item)
                     .peekLeft(why -> unreadable(item, why))
-                    .forEach(w -> names.named(w.model(), w.version(), item.revision()));
+                    .forEach(w -> names.versionPublished(w.model(), w.version(), item.revision()));
             case REPLICA -> {
                 return replicaChanged(item);
             }
@@ -311,9 +311,9 @@
 
     private void routerChanged(StoreItem item) {
         if (item.removed()) {
-            afterRelisting(item, () -> routers.changed(item));
+            afterRelisting(item, () -> routers.update(item));
         } else {
-            routers.changed(item);
+            routers.update(item);
         }
     }
 
--- a/gateway/src/main/java/org/hornbeamhead/gateway/Shutdown.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/Shutdown.java
@@ -6,7 +6,7 @@
 import org.hornbeamhead.daemon.Logs;
 import org.hornbeamhead.gateway.caller.CallerFront;
 import org.hornbeamhead.gateway.duty.Duties;
-import org.hornbeamhead.gateway.state.RouterPresence;
+import org.hornbeamhead.gateway.state.RouterRegistration;
 
 /**
  * The graceful end of a router: leave the list, go on serving those who still have the address, finish, end.
@@ -37,12 +37,12 @@
 
     private final Daemon daemon;
     private final CallerFront front;
-    private final RouterPresence presence;
+    private final RouterRegistration presence;
     private final Duties duties;
     private final long graceMillis;
     private long begunAt = -1;
 
-    Shutdown(Daemon daemon, CallerFront front, RouterPresence presence, Duties duties, Duration grace) {
+    Shutdown(Daemon daemon, CallerFront front, RouterRegistration presence, Duties duties, Duration grace) {
         this.daemon = daemon;
         this.front = front;
         this.presence = presence;
@@ -72,7 +72,7 @@
         begunAt = daemon.clock().monotonicMillis();
         logger.atInfo().with(Logs.DECISION, "stopping").log("the router leaves the list and finishes its requests");
         front.drain();
-        presence.leave();
+        presence.deregister();
         duties.stop(Math.max(0, Math.min(LISTEN_MILLIS, graceMillis - LAST_MILLIS) - HAND_OVER_MILLIS));
         check();
     }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Dispatcher.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Dispatcher.java
@@ -217,7 +217,7 @@
 
     void sentToEngine(LiveReplica replica, EngineChoice choice) {
         noteSent(replica, choice.beginning(), choice.storeMillis());
-        hints.sent(replica, choice);
+        hints.recordSent(replica, choice);
     }
 
     /**
@@ -250,7 +250,7 @@
      * caller with a new key is turned away for good. While the view may be old, the refusal says to come back.
      */
     private void deny(CallerRequest request, CallerAnswer answer, int status, String why) {
-        if (state.surelyFresh(clock.monotonicMillis())) {
+        if (state.isFresh(clock.monotonicMillis())) {
             answer(request, answer, status, why, Headers.NONE);
         } else {
             refuseUnrun(request, answer, why + " in a configuration that may be old", UNSURE_RETRY_MILLIS);
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/TargetPicker.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/TargetPicker.java
@@ -90,13 +90,13 @@
                         r.entry().run(),
                         r.entry().dataCentre(),
                         r.weights(prompt.model()),
-                        weights.settled(prompt.model(), r.weights(prompt.model()), now),
+                        weights.isSettled(prompt.model(), r.weights(prompt.model()), now),
                         r.load(),
                         spec.memoryTokens(),
                         r.entry().slots(),
-                        weights.penalized(prompt.model(), r.weights(prompt.model()), now),
+                        weights.isPenalized(prompt.model(), r.weights(prompt.model()), now),
                         weights.usableMillis(prompt.model(), r.weights(prompt.model()), now),
-                        weights.steered(r.entry().run(), now)))
+                        weights.isAvoided(r.entry().run(), now)))
                 .toList();
         String wall = owner.filter(KeyOwner::isolated).map(KeyOwner::customer).orElse("");
         return chooser(service.name())
--- a/gateway/src/main/java/org/hornbeamhead/gateway/duty/DutyLease.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/duty/DutyLease.java
@@ -66,7 +66,7 @@
         this.self = self;
         this.heardAt = clock.monotonicMillis();
         this.record = mirror.get(KEY).flatMap(DutyLease::read);
-        mirror.listen(this::heard);
+        mirror.addListener(this::heard);
     }
 
     private void heard(StoreItem item) {
@@ -144,7 +144,7 @@
             return Promise.of(true);
         }
         // A write in doubt may have taken the key; ending the lease removes it again.
-        return store.end(lease).map(v -> false);
+        return store.revoke(lease).map(v -> false);
     }
 
     private static void extend(Held h, long sent, long sentWall) {
@@ -206,7 +206,7 @@
         String text = DutyRecord.free(self, waitMillis).text();
         store.write(KEY, OptionalLong.of(h.fence), text, Optional.empty()).subscribe((reply, e) -> {
             busy = false;
-            store.end(h.lease);
+            store.revoke(h.lease);
             logger.atInfo()
                     .with(Logs.DECISION, "duty given back")
                     .with(Logs.INPUTS, "waitMillis=" + waitMillis + " reply=" + (e == null ? reply : e.getMessage()))
--- a/gateway/src/main/java/org/hornbeamhead/gateway/duty/SteerNotice.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/duty/SteerNotice.java
@@ -66,7 +66,7 @@
 
     @Override
     public void tell(Set<String> changing, Map<String, Long> changed) {
-        weights.steerAway(changing, clock.monotonicMillis());
+        weights.avoid(changing, clock.monotonicMillis());
         ObjectNode tree = Json.object();
         ArrayNode list = tree.putArray("changing");
         changing.forEach(list::add);
@@ -90,7 +90,7 @@
     private Promise<HttpResponse> take(JsonNode tree) {
         Set<String> changing = new HashSet<>();
         tree.path("changing").forEach(n -> changing.add(n.asText()));
-        weights.steerAway(changing, clock.monotonicMillis());
+        weights.avoid(changing, clock.monotonicMillis());
         tree.path("changed").fields().forEachRemaining(f -> registry.get(f.getKey())
                 .ifPresent((LiveReplica r) -> r.sawWeights(f.getValue().asLong())));
         return HttpAnswers.text(200, "text/plain", "");
--- a/gateway/src/main/java/org/hornbeamhead/gateway/duty/WeightsRollout.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/duty/WeightsRollout.java
@@ -45,7 +45,7 @@
     /** Tells whether a change is under way or replicas are behind what is named. */
     boolean needed() {
         return !changes.isEmpty()
-                || parts.weights().all().entrySet().stream().anyMatch(e -> behind(e.getKey(), e.getValue()));
+                || parts.weights().latestVersions().entrySet().stream().anyMatch(e -> behind(e.getKey(), e.getValue()));
     }
 
     long lastOrderAt() {
@@ -76,7 +76,7 @@
      */
     private void skipReplaced() {
         changes.replaceAll((id, c) -> {
-            long newest = parts.weights().named(c.model);
+            long newest = parts.weights().latestVersion(c.model);
             return c.asked || c.asking || c.version >= newest ? c : c.towards(newest);
         });
     }
@@ -126,7 +126,7 @@
 
     private void begin() {
         List<String> chosen = new ArrayList<>();
-        parts.weights().all().forEach((model, version) -> {
+        parts.weights().latestVersions().forEach((model, version) -> {
             List<WeightsReplica> all = serving(model).stream()
                     .filter(r -> !silent(r.entry().run()))
                     .map(r -> seen(r, model))
--- a/gateway/src/main/java/org/hornbeamhead/gateway/quarantine/Quarantine.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/quarantine/Quarantine.java
@@ -76,7 +76,7 @@
     public void start() {
         history.listen(this::changed);
         parts.registry().onGone(witness::gone);
-        parts.datagrams().listen((from, bytes) -> gossip.receive(bytes));
+        parts.datagrams().addListener((from, bytes) -> gossip.receive(bytes));
         parts.metrics().gauge("hornbeam_requests_held_back", history::held);
     }
 
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/MirrorCalls.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/HttpMirrorClient.java
@@ -8,18 +8,18 @@
 import org.hornbeamhead.daemon.HttpReply;
 
 /** Asks other routers for what they know of the store. */
-public final class MirrorCalls implements MirrorAsking {
+public final class HttpMirrorClient implements MirrorClient {
     /** What an answer takes on its way and in a busy process; a reader that needs longer is as good as lost. */
-    private static final Duration READERS_LIMIT = Duration.ofMillis(300);
+    private static final Duration READER_TIMEOUT = Duration.ofMillis(300);
     /** Whoever is asked for want of a better source may be slow. */
-    private static final Duration ANYONES_LIMIT = Duration.ofMillis(700);
+    private static final Duration PEER_TIMEOUT = Duration.ofMillis(700);
 
     private final HttpCaller caller;
-    private final Duration limit;
+    private final Duration timeout;
 
-    private MirrorCalls(HttpCaller caller, Duration limit) {
+    private HttpMirrorClient(HttpCaller caller, Duration limit) {
         this.caller = caller;
-        this.limit = limit;
+        this.timeout = limit;
     }
 
     /**
@@ -28,8 +28,8 @@
      * @param reactor the thread's reactor
      * @return the calls
      */
-    public static MirrorCalls toReaders(NioReactor reactor) {
-        return new MirrorCalls(HttpCaller.keepingAlive(reactor), READERS_LIMIT);
+    public static HttpMirrorClient forReaders(NioReactor reactor) {
+        return new HttpMirrorClient(HttpCaller.keepingAlive(reactor), READER_TIMEOUT);
     }
 
     /**
@@ -38,14 +38,14 @@
      * @param reactor the thread's reactor
      * @return the calls
      */
-    public static MirrorCalls toAnyone(NioReactor reactor) {
-        return new MirrorCalls(HttpCaller.connectingAnew(reactor), ANYONES_LIMIT);
+    public static HttpMirrorClient forPeers(NioReactor reactor) {
+        return new HttpMirrorClient(HttpCaller.connectingAnew(reactor), PEER_TIMEOUT);
     }
 
     @Override
-    public Promise<MirrorAnswer> ask(String peer, long after, Duration wait) {
+    public Promise<MirrorAnswer> fetch(String peer, long after, Duration wait) {
         String url = "http://" + peer + MirrorServer.PATH + "?after=" + after + "&wait=" + wait.toMillis();
-        return caller.call(HttpMethod.GET, url, "", wait.plus(limit)).then(MirrorCalls::decode);
+        return caller.call(HttpMethod.GET, url, "", wait.plus(timeout)).then(HttpMirrorClient::decode);
     }
 
     private static Promise<MirrorAnswer> decode(HttpReply reply) {
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/MirrorAnswer.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/MirrorAnswer.java
@@ -42,7 +42,7 @@
     ObjectNode encode() {
         ObjectNode tree = Json.object();
         tree.put("revision", changes.revision());
-        tree.put("whole", changes.whole());
+        tree.put("whole", changes.snapshot());
         tree.put("ageMillis", ageMillis);
         tree.put("provenMillisAgo", provenMillisAgo);
         tree.put("waitedMillis", waitedMillis);
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/MirrorAsking.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/MirrorClient.java
@@ -5,7 +5,7 @@
 
 /** Asks another router for what it knows of the store. */
 @FunctionalInterface
-public interface MirrorAsking {
+public interface MirrorClient {
     /**
      * Asks.
      *
@@ -14,5 +14,5 @@
      * @param wait how long it may wait for the first change
      * @return its answer; fails when none comes soon after the wait
      */
-    Promise<MirrorAnswer> ask(String peer, long after, Duration wait);
+    Promise<MirrorAnswer> fetch(String peer, long after, Duration wait);
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/MirrorServer.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/MirrorServer.java
@@ -11,7 +11,7 @@
 import java.util.function.LongSupplier;
 import org.hornbeamhead.core.mirror.StoreItem;
 import org.hornbeamhead.core.mirror.StoreMirror;
-import org.hornbeamhead.core.mirror.ToldChanges;
+import org.hornbeamhead.core.mirror.ChangeFeed;
 import org.hornbeamhead.core.time.Clock;
 import org.hornbeamhead.core.time.Timers;
 import org.hornbeamhead.daemon.HttpAnswers;
@@ -27,24 +27,24 @@
     private final Timers timers;
     private final Clock clock;
     private final StoreMirror mirror;
-    private final ToldChanges told;
+    private final ChangeFeed feed;
     private final RoutingState state;
     private final WeightsView weights;
-    private final SuspensionWatch suspensions;
+    private final SuspensionDetector suspensionDetector;
     private final BooleanSupplier readsStore;
     private final LongSupplier relistMillis;
-    private final Set<Question> waiting = new LinkedHashSet<>();
-    private boolean looking;
+    private final Set<PendingQuery> pending = new LinkedHashSet<>();
+    private boolean answerScheduled;
 
     /** A question of another router; each is a thing of its own, also among like ones. */
-    private static final class Question {
+    private static final class PendingQuery {
         private final long after;
-        private final long since;
+        private final long receivedAtMillis;
         private final SettablePromise<MirrorAnswer> answer = new SettablePromise<>();
 
-        Question(long after, long since) {
+        PendingQuery(long after, long since) {
             this.after = after;
-            this.since = since;
+            this.receivedAtMillis = since;
         }
     }
 
@@ -66,16 +66,16 @@
             StoreMirror mirror,
             RoutingState state,
             WeightsView weights,
-            SuspensionWatch suspensions,
+            SuspensionDetector suspensions,
             BooleanSupplier readsStore,
             LongSupplier relistMillis) {
         this.timers = timers;
         this.clock = clock;
         this.mirror = mirror;
-        this.told = new ToldChanges(mirror);
+        this.feed = new ChangeFeed(mirror);
         this.state = state;
         this.weights = weights;
-        this.suspensions = suspensions;
+        this.suspensionDetector = suspensions;
         this.readsStore = readsStore;
         this.relistMillis = relistMillis;
     }
@@ -86,22 +86,22 @@
      *
      * @param item the changed item
      */
-    public void changed(StoreItem item) {
-        told.changed(item);
-        if (!looking && !waiting.isEmpty()) {
-            looking = true;
-            timers.schedule(0, this::answerWhoMustHear);
+    public void recordChange(StoreItem item) {
+        feed.recordChange(item);
+        if (!answerScheduled && !pending.isEmpty()) {
+            answerScheduled = true;
+            timers.schedule(0, this::answerPending);
         }
     }
 
-    private void answerWhoMustHear() {
-        looking = false;
-        List.copyOf(waiting).stream().filter(q -> told.hasNewsFor(q.after)).forEach(this::end);
+    private void answerPending() {
+        answerScheduled = false;
+        List.copyOf(pending).stream().filter(q -> feed.hasChangesAfter(q.after)).forEach(this::complete);
     }
 
-    private void end(Question question) {
-        if (waiting.remove(question)) {
-            question.answer.trySet(answer(question));
+    private void complete(PendingQuery question) {
+        if (pending.remove(question)) {
+            question.answer.trySet(handle(question));
         }
     }
 
@@ -111,7 +111,7 @@
      * @param request asks for the changes after a revision, and says how long it would wait for the first one
      * @return the changes, and how old they may be
      */
-    public Promise<HttpResponse> answer(HttpRequest request) {
+    public Promise<HttpResponse> handle(HttpRequest request) {
         long after;
         long wait;
         try {
@@ -124,29 +124,29 @@
         if (mirror.revision() == 0) {
             return HttpAnswers.text(503, "text/plain", "nothing is known yet\n");
         }
-        return ask(after, wait).then(answer -> HttpAnswers.json(200, answer.encode()));
+        return query(after, wait).then(answer -> HttpAnswers.json(200, answer.encode()));
     }
 
-    Promise<MirrorAnswer> ask(long after, long waitMillis) {
-        Question question = new Question(after, clock.monotonicMillis());
-        if (waitMillis <= 0 || told.hasNewsFor(after) || !readsStore.getAsBoolean()) {
-            return Promise.of(answer(question));
+    Promise<MirrorAnswer> query(long after, long waitMillis) {
+        PendingQuery question = new PendingQuery(after, clock.monotonicMillis());
+        if (waitMillis <= 0 || feed.hasChangesAfter(after) || !readsStore.getAsBoolean()) {
+            return Promise.of(handle(question));
         }
-        waiting.add(question);
-        timers.schedule(Math.min(MAX_WAIT_MILLIS, waitMillis), () -> end(question));
+        pending.add(question);
+        timers.schedule(Math.min(MAX_WAIT_MILLIS, waitMillis), () -> complete(question));
         return question.answer;
     }
 
-    private MirrorAnswer answer(Question question) {
-        suspensions.look();
+    private MirrorAnswer handle(PendingQuery question) {
+        suspensionDetector.check();
         long now = clock.monotonicMillis();
         return new MirrorAnswer(
-                told.since(question.after),
+                feed.changesSince(question.after),
                 now - state.confirmedAt(),
-                now - state.provenAt(),
-                now - question.since,
+                now - state.completeUpTo(),
+                now - question.receivedAtMillis,
                 relistMillis.getAsLong(),
                 readsStore.getAsBoolean(),
-                weights.ages(now));
+                weights.publicationAges(now));
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/MirrorIntake.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/MirrorUpdater.java
@@ -10,20 +10,20 @@
  * there, which is never too late: what the question and the answer take on their way only makes the view look older. A
  * bound that runs from such a time allows no more than one that runs from the store's own word.
  */
-final class MirrorIntake {
+final class MirrorUpdater {
     private final Clock clock;
     private final StoreMirror mirror;
     private final RoutingState state;
     private final WeightsView weights;
-    private final SuspensionWatch suspensions;
+    private final SuspensionDetector suspensionDetector;
 
-    MirrorIntake(
-            Clock clock, StoreMirror mirror, RoutingState state, WeightsView weights, SuspensionWatch suspensions) {
+    MirrorUpdater(
+            Clock clock, StoreMirror mirror, RoutingState state, WeightsView weights, SuspensionDetector suspensions) {
         this.clock = clock;
         this.mirror = mirror;
         this.state = state;
         this.weights = weights;
-        this.suspensions = suspensions;
+        this.suspensionDetector = suspensions;
     }
 
     /**
@@ -33,16 +33,16 @@
      * @param sentMillis the monotonic time at which its question was sent
      * @return whether its times could be counted; false when the machine may have stood still meanwhile
      */
-    boolean take(MirrorAnswer answer, long sentMillis) {
-        suspensions.look();
+    boolean apply(MirrorAnswer answer, long sentMillis) {
+        suspensionDetector.check();
         mirror.apply(answer.changes());
-        if (!state.trusts(sentMillis)) {
+        if (!state.isReliable(sentMillis)) {
             return false;
         }
         long asOf = Math.min(clock.monotonicMillis(), sentMillis + answer.waitedMillis());
-        state.confirmed(asOf - answer.ageMillis());
-        state.proven(asOf - answer.provenMillisAgo());
-        answer.named().forEach(age -> weights.told(age, asOf));
+        state.markConfirmed(asOf - answer.ageMillis());
+        state.markCompleteUpTo(asOf - answer.provenMillisAgo());
+        answer.named().forEach(age -> weights.recordFromPeer(age, asOf));
         return true;
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/PeerDatagrams.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/PeerDatagrams.java
@@ -19,12 +19,12 @@
 public final class PeerDatagrams {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     /** After a failed receive; one line of the log a second at most. */
-    private static final long RECEIVE_AGAIN_MILLIS = 1_000;
+    private static final long RECEIVE_RETRY_MILLIS = 1_000;
 
     private final NioReactor reactor;
     private final List<BiConsumer<String, byte[]>> listeners = new ArrayList<>();
     private UdpSocket socket;
-    private SocketAddress bound;
+    private SocketAddress boundAddress;
 
     /**
      * Makes a socket that is not open yet.
@@ -40,7 +40,7 @@
      *
      * @param listener takes the sender's address and the bytes of each datagram, and passes over what is not its own
      */
-    public void listen(BiConsumer<String, byte[]> listener) {
+    public void addListener(BiConsumer<String, byte[]> listener) {
         listeners.add(listener);
     }
 
@@ -54,14 +54,14 @@
         DatagramChannel channel = DatagramChannel.open();
         channel.configureBlocking(false);
         channel.bind(address);
-        bound = channel.getLocalAddress();
+        boundAddress = channel.getLocalAddress();
         socket = UdpSocket.connect(reactor, channel).getResult();
         receive();
     }
 
     /** Where it listens. */
     SocketAddress address() {
-        return bound;
+        return boundAddress;
     }
 
     /**
@@ -78,18 +78,18 @@
         socket.receive().subscribe((packet, e) -> {
             if (e != null) {
                 logger.atWarning().withCause(e).log("a datagram could not be received");
-                reactor.delayBackground(RECEIVE_AGAIN_MILLIS, this::receive);
+                reactor.delayBackground(RECEIVE_RETRY_MILLIS, this::receive);
                 return;
             }
             String from = Addresses.format(packet.getSocketAddress());
             byte[] bytes = packet.getBuf().asArray();
-            listeners.forEach(l -> passOn(l, from, bytes));
+            listeners.forEach(l -> dispatch(l, from, bytes));
             receive();
         });
     }
 
     /** A listener that fails must not keep the router from hearing the next datagram. */
-    private static void passOn(BiConsumer<String, byte[]> listener, String from, byte[] bytes) {
+    private static void dispatch(BiConsumer<String, byte[]> listener, String from, byte[] bytes) {
         Try.run(() -> listener.accept(from, bytes))
                 .onFailure(e -> logger.atSevere().withCause(e).log(
                         "a datagram of %s cannot be taken over and is passed over", from));
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/PeerMirror.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/PeerMirrorPoller.java
@@ -20,27 +20,27 @@
  * mirror of another one, a randomly chosen one until it finds one that the store answers; revisions decide what is
  * newer, whoever tells it.
  */
-public final class PeerMirror {
+public final class PeerMirrorPoller {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
     /** How often a router that the store does not answer asks others; a quarter of the bound, and 1 KB/s. */
-    private static final long POLL_MILLIS = 200;
+    private static final long POLL_INTERVAL_MILLIS = 200;
 
     /** Routers that are asked at a start; when all were restarted together, none knows more than the store. */
-    private static final int MAX_INTRODUCTIONS = 5;
+    private static final int MAX_BOOTSTRAP_ANSWERS = 5;
 
     private final Timers timers;
     private final Clock clock;
     private final RandomGenerator random;
-    private final MirrorAsking calls;
+    private final MirrorClient client;
     private final StoreMirror mirror;
-    private final MirrorIntake intake;
+    private final MirrorUpdater updater;
     private final WeightsView weights;
-    private final BooleanSupplier behind;
+    private final BooleanSupplier isBehind;
     private final Supplier<List<String>> peers;
-    private Optional<String> good = Optional.empty();
-    private boolean introduced;
-    private int asked;
+    private Optional<String> currentPeer = Optional.empty();
+    private boolean bootstrapped;
+    private int bootstrapAnswers;
 
     /**
      * Makes a reader that does not read yet.
@@ -55,50 +55,50 @@
      * @param behind whether nobody else tells this router what is new
      * @param peers the addresses at which other routers may be asked
      */
-    PeerMirror(
+    PeerMirrorPoller(
             Timers timers,
             Clock clock,
             RandomGenerator random,
-            MirrorAsking calls,
+            MirrorClient calls,
             StoreMirror mirror,
-            MirrorIntake intake,
+            MirrorUpdater intake,
             WeightsView weights,
             BooleanSupplier behind,
             Supplier<List<String>> peers) {
         this.timers = timers;
         this.clock = clock;
         this.random = random;
-        this.calls = calls;
+        this.client = calls;
         this.mirror = mirror;
-        this.intake = intake;
+        this.updater = intake;
         this.weights = weights;
-        this.behind = behind;
+        this.isBehind = behind;
         this.peers = peers;
     }
 
     /** Reads from other routers, which know what the store does not tell, and then whenever nobody else answers. */
     public void start() {
-        timers.schedule(POLL_MILLIS, this::poll);
+        timers.schedule(POLL_INTERVAL_MILLIS, this::poll);
     }
 
     /** Asks other routers again, as after a start: what this one knew of times is in doubt. */
-    public void introduceAgain() {
-        introduced = false;
-        asked = 0;
+    public void restartBootstrap() {
+        bootstrapped = false;
+        bootstrapAnswers = 0;
     }
 
     private void poll() {
-        List<String> addresses = behind.getAsBoolean() || !introduced ? peers.get() : List.of();
+        List<String> addresses = isBehind.getAsBoolean() || !bootstrapped ? peers.get() : List.of();
         if (addresses.isEmpty()) {
             start();
             return;
         }
-        String peer = pick(addresses);
+        String peer = selectPeer(addresses);
         long sent = clock.monotonicMillis();
-        calls.ask(peer, mirror.revision(), Duration.ZERO).subscribe((answer, e) -> {
-            good = Optional.of(peer).filter(p -> e == null && answer.readsStore());
+        client.fetch(peer, mirror.revision(), Duration.ZERO).subscribe((answer, e) -> {
+            currentPeer = Optional.of(peer).filter(p -> e == null && answer.readsStore());
             if (e == null) {
-                heard(peer, answer, sent);
+                handleAnswer(peer, answer, sent);
             } else {
                 logger.atFine().withCause(e).log("router %s told nothing", peer);
             }
@@ -107,17 +107,17 @@
     }
 
     /** At a start several tell more than one; while nobody else answers, the one that the store answers knows best. */
-    private String pick(List<String> addresses) {
-        return good.filter(p -> introduced && addresses.contains(p))
+    private String selectPeer(List<String> addresses) {
+        return currentPeer.filter(p -> bootstrapped && addresses.contains(p))
                 .orElseGet(() -> addresses.get(random.nextInt(addresses.size())));
     }
 
-    private void heard(String peer, MirrorAnswer answer, long sent) {
-        if (intake.take(answer, sent)) {
+    private void handleAnswer(String peer, MirrorAnswer answer, long sent) {
+        if (updater.apply(answer, sent)) {
             log(peer, answer.named());
-            asked++;
+            bootstrapAnswers++;
         }
-        introduced = !weights.isUncertain() || asked >= MAX_INTRODUCTIONS;
+        bootstrapped = !weights.hasEstimates() || bootstrapAnswers >= MAX_BOOTSTRAP_ANSWERS;
     }
 
     private static void log(String peer, List<NamedAge> named) {
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/PlatformStore.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/PlatformStore.java
@@ -62,7 +62,7 @@
      * @param lease its id
      * @return completes when the store has answered
      */
-    Promise<Void> end(String lease);
+    Promise<Void> revoke(String lease);
 
     /** What became of a write. */
     sealed interface WriteReply {
@@ -81,13 +81,13 @@
         record Conflict(Optional<StoreItem> current) implements WriteReply {}
 
         /** The lease has ended; nothing was written. */
-        record LeaseGone() implements WriteReply {}
+        record LeaseExpired() implements WriteReply {}
 
         /**
          * It may have been written, or may be written later if its condition still holds.
          *
          * @param why for the log
          */
-        record InDoubt(String why) implements WriteReply {}
+        record InDoubt(String reason) implements WriteReply {}
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/RouterEntry.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/RouterEntry.java
@@ -45,7 +45,7 @@
      *
      * @return the value
      */
-    public String text() {
+    public String toJson() {
         return Json.write(this);
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/RouterList.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/RouterList.java
@@ -43,7 +43,7 @@
      *
      * @param item a router's key
      */
-    public void changed(StoreItem item) {
+    public void update(StoreItem item) {
         String node = item.key().substring(RouterEntry.PREFIX.length());
         if (node.equals(self.node())) {
             return;
@@ -127,7 +127,7 @@
      * @param seeds addresses known from the settings
      * @return their addresses for other routers; those of all routers when nobody has been heard of
      */
-    public List<String> peerAddressesOf(List<String> hintAddresses, List<String> seeds) {
+    public List<String> peerAddressesForHints(List<String> hintAddresses, List<String> seeds) {
         List<String> near = others.values().stream()
                 .filter(e -> hintAddresses.contains(e.hints()))
                 .map(RouterEntry::peer)
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/RouterPresence.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/RouterRegistration.java
@@ -9,7 +9,7 @@
 import org.hornbeamhead.daemon.Logs;
 
 /** Keeps this router listed under a lease while it serves. */
-public final class RouterPresence {
+public final class RouterRegistration {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     /**
      * A router that was killed leaves the list this long after; callers avoid an address that failed them by
@@ -17,14 +17,14 @@
      */
     private static final Duration TTL = Duration.ofMillis(2_500);
     /** Three renewals fit into the lease, so that one lost call does not end it. */
-    private static final long RENEW_MILLIS = 800;
+    private static final long RENEWAL_INTERVAL_MILLIS = 800;
 
     private final NioReactor reactor;
     private final PlatformStore store;
     private final RouterEntry entry;
     private Optional<String> lease = Optional.empty();
-    private boolean listed;
-    private boolean leaving;
+    private boolean registered;
+    private boolean deregistering;
 
     /**
      * Makes a presence that is not listed.
@@ -33,7 +33,7 @@
      * @param store the store
      * @param entry how the router is listed
      */
-    public RouterPresence(NioReactor reactor, PlatformStore store, RouterEntry entry) {
+    public RouterRegistration(NioReactor reactor, PlatformStore store, RouterEntry entry) {
         this.reactor = reactor;
         this.store = store;
         this.entry = entry;
@@ -41,21 +41,21 @@
 
     /** Lists the router, and keeps it listed. */
     public void start() {
-        step().subscribe((v, e) -> {
+        registerOrRenew().subscribe((v, e) -> {
             if (e != null) {
                 logger.atFine().withCause(e).log("the router could not be listed or renewed");
             }
-            if (!leaving) {
-                reactor.delayBackground(RENEW_MILLIS, this::start);
+            if (!deregistering) {
+                reactor.delayBackground(RENEWAL_INTERVAL_MILLIS, this::start);
             }
         });
     }
 
-    private Promise<Void> step() {
-        if (leaving) {
+    private Promise<Void> registerOrRenew() {
+        if (deregistering) {
             return Promise.complete();
         }
-        return lease.isPresent() && listed ? renew(lease.get()) : list();
+        return lease.isPresent() && registered ? renew(lease.get()) : register();
     }
 
     private Promise<Void> renew(String held) {
@@ -65,24 +65,24 @@
             }
             logger.atInfo().with(Logs.DECISION, "lease lost").log("the router's lease ended; it is listed anew");
             lease = Optional.empty();
-            listed = false;
-            return list();
+            registered = false;
+            return register();
         });
     }
 
-    private Promise<Void> list() {
+    private Promise<Void> register() {
         Promise<String> granted = lease.map(Promise::of).orElseGet(() -> store.grant(TTL));
         return granted.then(l -> {
                     lease = Optional.of(l);
-                    return store.write(entry.key(), OptionalLong.empty(), entry.text(), lease);
+                    return store.write(entry.key(), OptionalLong.empty(), entry.toJson(), lease);
                 })
                 .then(reply -> {
-                    listed = reply instanceof PlatformStore.WriteReply.Written;
-                    if (reply instanceof PlatformStore.WriteReply.LeaseGone) {
+                    registered = reply instanceof PlatformStore.WriteReply.Written;
+                    if (reply instanceof PlatformStore.WriteReply.LeaseExpired) {
                         lease = Optional.empty();
                     }
-                    if (leaving && listed) {
-                        return leave();
+                    if (deregistering && registered) {
+                        return deregister();
                     }
                     return Promise.complete();
                 });
@@ -93,8 +93,8 @@
      *
      * @return completes when the store has answered
      */
-    public Promise<Void> leave() {
-        leaving = true;
-        return lease.map(store::end).orElseGet(Promise::complete);
+    public Promise<Void> deregister() {
+        deregistering = true;
+        return lease.map(store::revoke).orElseGet(Promise::complete);
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/RoutingState.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/RoutingState.java
@@ -12,12 +12,12 @@
      * A view that was confirmed within this time is taken as the newest. A configuration must be in force two seconds
      * after it was accepted, and a waiting read confirms the view at least this often.
      */
-    private static final long FRESH_MILLIS = 2_600;
+    private static final long MAX_CONFIRMATION_AGE_MILLIS = 2_600;
 
     private Optional<RoutingConfig> config = Optional.empty();
     private long confirmedAt = Long.MIN_VALUE / 2;
-    private long provenAt = Long.MIN_VALUE / 2;
-    private long trustedFrom = Long.MIN_VALUE / 2;
+    private long completeUpTo = Long.MIN_VALUE / 2;
+    private long reliableFrom = Long.MIN_VALUE / 2;
 
     /**
      * Takes over a configuration, unless it is older than the present one.
@@ -41,7 +41,7 @@
      *
      * @param atMillis the monotonic time
      */
-    public void confirmed(long atMillis) {
+    public void markConfirmed(long atMillis) {
         confirmedAt = Math.max(confirmedAt, atMillis);
     }
 
@@ -54,9 +54,9 @@
      *
      * @param sentMillis the monotonic time at which the answered question was sent
      */
-    public void proven(long sentMillis) {
-        if (trusts(sentMillis)) {
-            provenAt = Math.max(provenAt, sentMillis);
+    public void markCompleteUpTo(long sentMillis) {
+        if (isReliable(sentMillis)) {
+            completeUpTo = Math.max(completeUpTo, sentMillis);
         }
     }
 
@@ -67,10 +67,10 @@
      * @param millis how long the machine may have stood still, in milliseconds
      * @param nowMillis the monotonic time
      */
-    public void doubt(long millis, long nowMillis) {
-        provenAt -= millis;
+    public void addSuspendedTime(long millis, long nowMillis) {
+        completeUpTo -= millis;
         confirmedAt -= millis;
-        trustedFrom = nowMillis;
+        reliableFrom = nowMillis;
     }
 
     /**
@@ -79,8 +79,8 @@
      * @param sentMillis the monotonic time at which a question was sent
      * @return false if the machine may have stood still since
      */
-    public boolean trusts(long sentMillis) {
-        return sentMillis >= trustedFrom;
+    public boolean isReliable(long sentMillis) {
+        return sentMillis >= reliableFrom;
     }
 
     /**
@@ -88,8 +88,8 @@
      *
      * @return the monotonic time, far in the past when never
      */
-    public long provenAt() {
-        return provenAt;
+    public long completeUpTo() {
+        return completeUpTo;
     }
 
     /**
@@ -116,8 +116,8 @@
      * @param nowMillis the monotonic time
      * @return whether it was confirmed lately
      */
-    public boolean surelyFresh(long nowMillis) {
-        return nowMillis - confirmedAt < FRESH_MILLIS;
+    public boolean isFresh(long nowMillis) {
+        return nowMillis - confirmedAt < MAX_CONFIRMATION_AGE_MILLIS;
     }
 
     /**
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/StoreFollower.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/StoreFollower.java
@@ -29,27 +29,27 @@
      * several times a second without a pause. The pause of a router that reads for itself grows with the routers: all
      * of them may have to, when the readers are lost together.
      */
-    private static final long GATHER_MILLIS_PER_ROUTER = 16;
+    private static final long BATCH_MILLIS_PER_ROUTER = 16;
 
-    private static final long MIN_GATHER_MILLIS = 40;
+    private static final long MIN_BATCH_MILLIS = 40;
     /** A third of the time in which a change must be in force with many routers. */
-    private static final long MAX_GATHER_MILLIS = 1_000;
+    private static final long MAX_BATCH_MILLIS = 1_000;
     /** What a router that reads for others gathers; the first part of how late all of them hear of a change. */
-    private static final long READERS_GATHER_MILLIS = 120;
+    private static final long READER_BATCH_MILLIS = 120;
     /** Between two questions to a reader; one that always has news must not be asked without a pause. */
-    private static final long FOLLOW_MILLIS = 20;
+    private static final long READER_PAUSE_MILLIS = 20;
 
     /**
      * An answer that is ready arrives within this time; it takes some milliseconds, and a busy router reads it up to a
      * tenth of a second later. Where it takes longer, the store or a link is disturbed.
      */
-    private static final long ANSWER_MILLIS = 200;
+    private static final long MAX_ANSWER_DELAY_MILLIS = 200;
 
     /**
      * A store that answered again sooner than this let nobody's entry lapse: entries go after three missed heartbeats
      * of more than a second each, and routers read once a second at least.
      */
-    private static final long OUTAGE_MILLIS = 2_000;
+    private static final long MIN_OUTAGE_MILLIS = 2_000;
     /**
      * An entry that vanished in an outage, or this shortly after, may be back: registries drop what could not be
      * renewed. The users' pages say that live servers are listed again within two seconds.
@@ -60,7 +60,7 @@
      * A router that was answered longer ago than this asks any other one besides: the store may be silent, and its own
      * question to it is given up only later.
      */
-    private static final long HEARD_MILLIS = 1_500;
+    private static final long BEHIND_MILLIS = 1_500;
 
     private static final Backoff BACKOFF = new Backoff(100, 400);
 
@@ -70,14 +70,14 @@
     private final PlatformStore store;
     private final StoreMirror mirror;
     private final RoutingState state;
-    private final SuspensionWatch suspensions;
-    private final IntSupplier routers;
-    private final ChangeReaders readers;
-    private final MirrorIntake intake;
-    private Optional<String> source = Optional.empty();
+    private final SuspensionDetector suspensionDetector;
+    private final IntSupplier routerCount;
+    private final ReaderClient readers;
+    private final MirrorUpdater updater;
+    private Optional<String> currentReader = Optional.empty();
     private int failures;
-    private boolean known;
-    private long awaySince;
+    private boolean snapshotRead;
+    private long disconnectedSince;
     private long answeredAt;
     private long relistUntil = Long.MIN_VALUE / 2;
 
@@ -102,10 +102,10 @@
             PlatformStore store,
             StoreMirror mirror,
             RoutingState state,
-            SuspensionWatch suspensions,
-            IntSupplier routers,
-            ChangeReaders readers,
-            MirrorIntake intake) {}
+            SuspensionDetector suspensionDetector,
+            IntSupplier routerCount,
+            ReaderClient readers,
+            MirrorUpdater updater) {}
 
     /**
      * Makes a follower that does not follow yet.
@@ -119,93 +119,93 @@
         this.store = parts.store();
         this.mirror = parts.mirror();
         this.state = parts.state();
-        this.suspensions = parts.suspensions();
-        this.routers = parts.routers();
+        this.suspensionDetector = parts.suspensionDetector();
+        this.routerCount = parts.routerCount();
         this.readers = parts.readers();
-        this.intake = parts.intake();
+        this.updater = parts.updater();
     }
 
     /** Starts to follow. */
     public void start() {
-        awaySince = clock.monotonicMillis();
-        answeredAt = awaySince;
-        next();
+        disconnectedSince = clock.monotonicMillis();
+        answeredAt = disconnectedSince;
+        poll();
     }
 
     /** A router that knows nothing yet has to read the store: readers are found in what was read. */
-    private void next() {
-        Optional<String> reader = mirror.revision() == 0 ? Optional.empty() : readers.pick();
-        logSource(reader);
-        reader.ifPresentOrElse(this::waitAt, this::readStore);
+    private void poll() {
+        Optional<String> reader = mirror.revision() == 0 ? Optional.empty() : readers.select();
+        logReaderChange(reader);
+        reader.ifPresentOrElse(this::watchReader, this::watchStore);
     }
 
-    private void logSource(Optional<String> next) {
-        if (!next.equals(source)) {
+    private void logReaderChange(Optional<String> next) {
+        if (!next.equals(currentReader)) {
             logger.atInfo()
                     .with(Logs.DECISION, "source of changes")
-                    .with(Logs.INPUTS, "reader=" + next.orElse("the store") + " before=" + source.orElse("the store"))
+                    .with(Logs.INPUTS, "reader=" + next.orElse("the store") + " before=" + currentReader.orElse("the store"))
                     .log("changes are read elsewhere from now on");
         }
-        source = next;
+        currentReader = next;
     }
 
-    private void waitAt(String reader) {
+    private void watchReader(String reader) {
         long sent = clock.monotonicMillis();
-        readers.ask(reader, mirror.revision()).subscribe((answer, e) -> {
+        readers.fetch(reader, mirror.revision()).subscribe((answer, e) -> {
             if (e != null) {
                 logger.atFine().withCause(e).log("reader %s does not tell what changed", reader);
-                next();
+                poll();
                 return;
             }
-            reached("reader " + reader);
+            handleConnected("reader " + reader);
             long now = clock.monotonicMillis();
             relistUntil = Math.max(relistUntil, now + Math.min(RELIST_MILLIS, answer.relistMillis()));
-            intake.take(answer, sent);
-            if (now - sent > FOLLOW_MILLIS) {
-                next();
+            updater.apply(answer, sent);
+            if (now - sent > READER_PAUSE_MILLIS) {
+                poll();
             } else {
-                timers.schedule(FOLLOW_MILLIS, this::next);
+                timers.schedule(READER_PAUSE_MILLIS, this::poll);
             }
         });
     }
 
-    private void readStore() {
+    private void watchStore() {
         long sent = clock.monotonicMillis();
-        boolean whole = !known;
+        boolean whole = !snapshotRead;
         Promise<StoreChanges> call = whole ? store.readAll() : store.watch(mirror.revision(), WAIT);
         call.subscribe((changes, e) -> {
             if (e == null) {
-                heard(changes, sent, whole);
+                handleChanges(changes, sent, whole);
             } else {
-                failed(e);
+                handleFailure(e);
             }
         });
     }
 
-    private void heard(StoreChanges changes, long sent, boolean whole) {
-        reached("the store");
-        known = true;
-        suspensions.look();
+    private void handleChanges(StoreChanges changes, long sent, boolean whole) {
+        handleConnected("the store");
+        snapshotRead = true;
+        suspensionDetector.check();
         if (!whole) {
-            provenWhileWaiting(sent, clock.monotonicMillis());
+            markCompleteWhileWaiting(sent, clock.monotonicMillis());
         }
         mirror.apply(changes);
-        state.proven(sent);
-        state.confirmed(state.provenAt());
-        timers.schedule(gatherMillis(), this::next);
+        state.markCompleteUpTo(sent);
+        state.markConfirmed(state.completeUpTo());
+        timers.schedule(batchMillis(), this::poll);
     }
 
     /** Notes that what is new is heard again, whoever tells it. */
-    private void reached(String who) {
+    private void handleConnected(String who) {
         long now = clock.monotonicMillis();
-        if (awaySince != 0) {
+        if (disconnectedSince != 0) {
             logger.atInfo()
                     .with(Logs.DECISION, "store reached")
-                    .with(Logs.INPUTS, "awayMillis=" + (now - awaySince) + " revision=" + mirror.revision())
+                    .with(Logs.INPUTS, "awayMillis=" + (now - disconnectedSince) + " revision=" + mirror.revision())
                     .log("%s answers", who);
-            relistUntil = inOutage(now) ? now + RELIST_MILLIS : relistUntil;
+            relistUntil = isOutage(now) ? now + RELIST_MILLIS : relistUntil;
         }
-        awaySince = 0;
+        disconnectedSince = 0;
         answeredAt = now;
         failures = 0;
     }
@@ -215,15 +215,15 @@
      * for what its answer tells. Without this a name would count from the question before, three seconds ago in a store
      * where nothing else changes.
      */
-    private void provenWhileWaiting(long sent, long now) {
-        if (now - sent > ANSWER_MILLIS && state.trusts(sent)) {
-            state.proven(now - ANSWER_MILLIS);
+    private void markCompleteWhileWaiting(long sent, long now) {
+        if (now - sent > MAX_ANSWER_DELAY_MILLIS && state.isReliable(sent)) {
+            state.markCompleteUpTo(now - MAX_ANSWER_DELAY_MILLIS);
         }
     }
 
-    private long gatherMillis() {
-        long own = gatherMillis(routers.getAsInt());
-        return readers.includeSelf() ? Math.min(READERS_GATHER_MILLIS, own) : own;
+    private long batchMillis() {
+        long own = batchMillis(routerCount.getAsInt());
+        return readers.isSelfReader() ? Math.min(READER_BATCH_MILLIS, own) : own;
     }
 
     /**
@@ -232,25 +232,25 @@
      * @param routers the routers that read the store
      * @return milliseconds
      */
-    static long gatherMillis(int routers) {
-        return Math.max(MIN_GATHER_MILLIS, Math.min(MAX_GATHER_MILLIS, routers * GATHER_MILLIS_PER_ROUTER));
+    static long batchMillis(int routers) {
+        return Math.max(MIN_BATCH_MILLIS, Math.min(MAX_BATCH_MILLIS, routers * BATCH_MILLIS_PER_ROUTER));
     }
 
-    private void failed(Exception e) {
+    private void handleFailure(Exception e) {
         if (e instanceof HistoryLostException) {
-            known = false;
+            snapshotRead = false;
             logger.atInfo().with(Logs.DECISION, "store read again").log("the store's history is lost");
-            next();
+            poll();
             return;
         }
-        if (awaySince == 0) {
-            awaySince = clock.monotonicMillis();
+        if (disconnectedSince == 0) {
+            disconnectedSince = clock.monotonicMillis();
             logger.atWarning()
                     .with(Logs.DECISION, "store lost")
                     .with(Logs.REASON, String.valueOf(e.getMessage()))
                     .log("the platform's store does not answer");
         }
-        timers.schedule(BACKOFF.delayMillis(failures++, random), this::next);
+        timers.schedule(BACKOFF.delayMillis(failures++, random), this::poll);
     }
 
     /**
@@ -258,8 +258,8 @@
      *
      * @return true from the first failed call to the next good one
      */
-    public boolean away() {
-        return awaySince != 0;
+    public boolean isDisconnected() {
+        return disconnectedSince != 0;
     }
 
     /**
@@ -268,7 +268,7 @@
      * @return true while nobody answers, or when the last answer is old
      */
     public boolean isBehind() {
-        return away() || clock.monotonicMillis() - answeredAt > HEARD_MILLIS;
+        return isDisconnected() || clock.monotonicMillis() - answeredAt > BEHIND_MILLIS;
     }
 
     /**
@@ -277,7 +277,7 @@
      * @return false while it waits at another router, or the store does not answer
      */
     public boolean readsStore() {
-        return source.isEmpty() && known && !away();
+        return currentReader.isEmpty() && snapshotRead && !isDisconnected();
     }
 
     /**
@@ -291,10 +291,10 @@
      */
     public long relistMillis() {
         long now = clock.monotonicMillis();
-        return away() && inOutage(now) ? RELIST_MILLIS : Math.max(0, relistUntil - now);
+        return isDisconnected() && isOutage(now) ? RELIST_MILLIS : Math.max(0, relistUntil - now);
     }
 
-    private boolean inOutage(long now) {
-        return now - answeredAt >= OUTAGE_MILLIS;
+    private boolean isOutage(long now) {
+        return now - answeredAt >= MIN_OUTAGE_MILLIS;
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/StoreView.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/StoreView.java
@@ -14,7 +14,7 @@
 /** This router's view of the store: what keeps it up, and what tells others of it. */
 public final class StoreView {
     private final StoreFollower follower;
-    private final PeerMirror peers;
+    private final PeerMirrorPoller peerPoller;
     private final MirrorServer server;
 
     /**
@@ -42,12 +42,12 @@
             StoreMirror mirror,
             RoutingState state,
             WeightsView weights,
-            SuspensionWatch suspensions,
+            SuspensionDetector suspensionDetector,
             RouterList routers,
             String self,
-            Supplier<List<String>> anyone,
-            MirrorAsking askReader,
-            MirrorAsking askAnyone) {}
+            Supplier<List<String>> peers,
+            MirrorClient readerClient,
+            MirrorClient peerClient) {}
 
     /**
      * Makes a view that knows nothing yet.
@@ -55,7 +55,7 @@
      * @param p what it works with
      */
     public StoreView(Parts p) {
-        MirrorIntake intake = new MirrorIntake(p.clock(), p.mirror(), p.state(), p.weights(), p.suspensions());
+        MirrorUpdater intake = new MirrorUpdater(p.clock(), p.mirror(), p.state(), p.weights(), p.suspensionDetector());
         follower = new StoreFollower(new StoreFollower.Parts(
                 p.timers(),
                 p.clock(),
@@ -63,27 +63,27 @@
                 p.store(),
                 p.mirror(),
                 p.state(),
-                p.suspensions(),
+                p.suspensionDetector(),
                 p.routers()::count,
-                new ChangeReaders(p.clock(), p.routers()::readers, p.self(), p.askReader()),
+                new ReaderClient(p.clock(), p.routers()::readers, p.self(), p.readerClient()),
                 intake));
-        peers = new PeerMirror(
+        peerPoller = new PeerMirrorPoller(
                 p.timers(),
                 p.clock(),
                 p.random(),
-                p.askAnyone(),
+                p.peerClient(),
                 p.mirror(),
                 intake,
                 p.weights(),
                 follower::isBehind,
-                p.anyone());
+                p.peers());
         server = new MirrorServer(
                 p.timers(),
                 p.clock(),
                 p.mirror(),
                 p.state(),
                 p.weights(),
-                p.suspensions(),
+                p.suspensionDetector(),
                 follower::readsStore,
                 follower::relistMillis);
     }
@@ -91,12 +91,12 @@
     /** Begins to read. */
     public void start() {
         follower.start();
-        peers.start();
+        peerPoller.start();
     }
 
     /** Asks other routers again, as after a start: what this one knew of times is in doubt. */
-    public void introduceAgain() {
-        peers.introduceAgain();
+    public void restartBootstrap() {
+        peerPoller.restartBootstrap();
     }
 
     /**
@@ -104,8 +104,8 @@
      *
      * @param item the changed item
      */
-    public void changed(StoreItem item) {
-        server.changed(item);
+    public void recordChange(StoreItem item) {
+        server.recordChange(item);
     }
 
     /**
@@ -114,13 +114,13 @@
      * @param request the question
      * @return the answer, when there is something to tell
      */
-    public Promise<HttpResponse> answer(HttpRequest request) {
-        return server.answer(request);
+    public Promise<HttpResponse> handle(HttpRequest request) {
+        return server.handle(request);
     }
 
     /** Asks as other routers do; completes when there is something to tell. */
-    Promise<MirrorAnswer> ask(long after, long waitMillis) {
-        return server.ask(after, waitMillis);
+    Promise<MirrorAnswer> query(long after, long waitMillis) {
+        return server.query(after, waitMillis);
     }
 
     /**
@@ -128,8 +128,8 @@
      *
      * @return true from the first failed call to the next good one
      */
-    public boolean away() {
-        return follower.away();
+    public boolean isDisconnected() {
+        return follower.isDisconnected();
     }
 
     /**
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/WeightsListener.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/WeightsListener.java
@@ -9,7 +9,7 @@
 public final class WeightsListener {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     /** In the log, a view of which nothing is proven is as old as this, in milliseconds. */
-    private static final long NEVER_MILLIS = 1_000_000;
+    private static final long MAX_LOGGED_MILLIS = 1_000_000;
 
     private final Clock clock;
     private final StoreMirror mirror;
@@ -38,19 +38,19 @@
      * @param version the version that is named
      * @param revision the store's revision at which it was written, for the log
      */
-    public void named(String model, long version, long revision) {
+    public void versionPublished(String model, long version, long revision) {
         long now = clock.monotonicMillis();
         logger.atInfo()
                 .with(Logs.DECISION, "weights named")
                 .with(
                         Logs.INPUTS,
                         "model=" + model + " version=" + version + " revision=" + revision + " provenMillisAgo="
-                                + Math.min(now - state.provenAt(), NEVER_MILLIS))
+                                + Math.min(now - state.completeUpTo(), MAX_LOGGED_MILLIS))
                 .log("weights named: %d", version);
         if (mirror.revision() == 0) {
-            weights.found(model, version, now);
+            weights.recordFound(model, version, now);
         } else {
-            weights.name(model, version, state.provenAt());
+            weights.recordPublished(model, version, state.completeUpTo());
         }
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/WeightsView.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/WeightsView.java
@@ -16,27 +16,27 @@
     /**
      * Answers on older weights are worth less from this time after a newer version was named; from the users' pages.
      */
-    private static final long OLD_PENALIZED_MILLIS = 1_500;
+    private static final long PENALTY_DELAY_MILLIS = 1_500;
     /**
      * Ends this long before the bound: an answer of the store comes with a delay, and closing a connection takes its
      * time too. How late a name was read is no part of it, since the bound runs from when the store still lacked it.
      */
-    private static final long FORBIDDEN_MARGIN_MILLIS = 350;
+    private static final long BOUND_MARGIN_MILLIS = 350;
     /** A notice of a change that was not renewed for this long belongs to a holder that is gone. */
-    private static final long STEER_LIFE_MILLIS = 3_000;
+    private static final long AVOID_NOTICE_TTL_MILLIS = 3_000;
 
     /**
      * What is left of old weights when nobody tells since when they are old; a change of all replicas takes about 3 s.
      */
-    private static final long FOUND_LEFT_MILLIS = 1_500;
+    private static final long ESTIMATED_USABLE_MILLIS = 1_500;
 
     /** A change of all replicas and one round of the dossiers at the sheets' rates take about this long. */
-    private static final long SETTLED_MILLIS = 8_000;
+    private static final long SETTLE_MILLIS = 8_000;
 
-    private final long oldForbiddenMillis;
-    private final Map<String, NavigableMap<Long, Named>> names = new HashMap<>();
-    private final Set<String> steered = new HashSet<>();
-    private long steeredAt;
+    private final long usableAfterReplacementMillis;
+    private final Map<String, NavigableMap<Long, Publication>> publications = new HashMap<>();
+    private final Set<String> isAvoided = new HashSet<>();
+    private long avoidedSinceMillis;
 
     /**
      * What is known of when a version was named.
@@ -46,16 +46,16 @@
      * to have lacked it, and neither was any version between it and the one known then: counted from there, no use is
      * too long, whatever was missed.
      */
-    private record Named(long notBefore, boolean guessed) {
+    private record Publication(long notBeforeMillis, boolean estimated) {
         /**
          * A guess yields to what a router saw. Of two that saw the name, the one that looked for it in vain later is
          * nearer to the truth; of two guesses, the earlier allows less.
          */
-        Named better(Named other) {
-            if (guessed != other.guessed) {
-                return guessed ? other : this;
+        Publication moreAccurate(Publication other) {
+            if (estimated != other.estimated) {
+                return estimated ? other : this;
             }
-            return (notBefore < other.notBefore) == guessed ? this : other;
+            return (notBeforeMillis < other.notBeforeMillis) == estimated ? this : other;
         }
     }
 
@@ -65,7 +65,7 @@
      * @param boundMillis the time after which no request may begin on older weights, in milliseconds
      */
     public WeightsView(long boundMillis) {
-        this.oldForbiddenMillis = Math.max(0, boundMillis - FORBIDDEN_MARGIN_MILLIS);
+        this.usableAfterReplacementMillis = Math.max(0, boundMillis - BOUND_MARGIN_MILLIS);
     }
 
     /**
@@ -75,8 +75,8 @@
      * @param version the version
      * @param notBeforeMillis the monotonic time at which it was surely not named yet
      */
-    public void name(String model, long version, long notBeforeMillis) {
-        put(model, version, new Named(notBeforeMillis, false));
+    public void recordPublished(String model, long version, long notBeforeMillis) {
+        put(model, version, new Publication(notBeforeMillis, false));
     }
 
     /**
@@ -90,8 +90,8 @@
      * @param version the version
      * @param nowMillis the monotonic time
      */
-    public void found(String model, long version, long nowMillis) {
-        put(model, version, new Named(nowMillis - oldForbiddenMillis + FOUND_LEFT_MILLIS, true));
+    public void recordFound(String model, long version, long nowMillis) {
+        put(model, version, new Publication(nowMillis - usableAfterReplacementMillis + ESTIMATED_USABLE_MILLIS, true));
     }
 
     /**
@@ -104,12 +104,12 @@
      * @param age what the other router tells
      * @param asOfMillis the monotonic time of this router before which the other one did not answer
      */
-    public void told(NamedAge age, long asOfMillis) {
-        put(age.model(), age.version(), new Named(asOfMillis - age.millisAgo(), age.guessed()));
+    public void recordFromPeer(NamedAge age, long asOfMillis) {
+        put(age.model(), age.version(), new Publication(asOfMillis - age.millisAgo(), age.guessed()));
     }
 
-    private void put(String model, long version, Named named) {
-        names.computeIfAbsent(model, m -> new TreeMap<>()).merge(version, named, Named::better);
+    private void put(String model, long version, Publication named) {
+        publications.computeIfAbsent(model, m -> new TreeMap<>()).merge(version, named, Publication::moreAccurate);
     }
 
     /**
@@ -118,14 +118,14 @@
      * @param nowMillis the monotonic time
      * @return the versions of all models, with those that this router only found
      */
-    public List<NamedAge> ages(long nowMillis) {
-        return names.entrySet().stream()
+    public List<NamedAge> publicationAges(long nowMillis) {
+        return publications.entrySet().stream()
                 .flatMap(m -> m.getValue().entrySet().stream()
                         .map(v -> new NamedAge(
                                 m.getKey(),
                                 v.getKey(),
-                                nowMillis - v.getValue().notBefore(),
-                                v.getValue().guessed())))
+                                nowMillis - v.getValue().notBeforeMillis(),
+                                v.getValue().estimated())))
                 .toList();
     }
 
@@ -138,8 +138,8 @@
      *
      * @param millis how long the machine may have stood still, in milliseconds
      */
-    public void doubt(long millis) {
-        names.values().forEach(versions -> versions.replaceAll((v, n) -> new Named(n.notBefore() - millis, true)));
+    public void addSuspendedTime(long millis) {
+        publications.values().forEach(versions -> versions.replaceAll((v, n) -> new Publication(n.notBeforeMillis() - millis, true)));
     }
 
     /**
@@ -147,9 +147,9 @@
      *
      * @return whether nothing is known, or a version was only found
      */
-    public boolean isUncertain() {
-        return names.isEmpty()
-                || names.values().stream().flatMap(v -> v.values().stream()).anyMatch(Named::guessed);
+    public boolean hasEstimates() {
+        return publications.isEmpty()
+                || publications.values().stream().flatMap(v -> v.values().stream()).anyMatch(Publication::estimated);
     }
 
     /**
@@ -158,8 +158,8 @@
      * @param model the model
      * @return the version, 0 when none was named
      */
-    public long named(String model) {
-        NavigableMap<Long, Named> versions = names.get(model);
+    public long latestVersion(String model) {
+        NavigableMap<Long, Publication> versions = publications.get(model);
         return versions == null ? 0 : versions.lastKey();
     }
 
@@ -168,9 +168,9 @@
      *
      * @return version by model
      */
-    public Map<String, Long> all() {
+    public Map<String, Long> latestVersions() {
         Map<String, Long> all = new HashMap<>();
-        names.forEach((m, versions) -> all.put(m, versions.lastKey()));
+        publications.forEach((m, versions) -> all.put(m, versions.lastKey()));
         return all;
     }
 
@@ -182,8 +182,8 @@
      * @param nowMillis the monotonic time
      * @return whether other replicas should be preferred
      */
-    public boolean penalized(String model, long version, long nowMillis) {
-        return replacedFor(model, version, nowMillis) > OLD_PENALIZED_MILLIS;
+    public boolean isPenalized(String model, long version, long nowMillis) {
+        return millisSinceReplaced(model, version, nowMillis) > PENALTY_DELAY_MILLIS;
     }
 
     /**
@@ -196,8 +196,8 @@
      * @return milliseconds, not above zero once the bound is over; {@link Long#MAX_VALUE} while no newer one is named
      */
     public long usableMillis(String model, long version, long nowMillis) {
-        return replacedAt(model, version)
-                .map(at -> at + oldForbiddenMillis - nowMillis)
+        return replacedAtMillis(model, version)
+                .map(at -> at + usableAfterReplacementMillis - nowMillis)
                 .orElse(Long.MAX_VALUE);
     }
 
@@ -209,25 +209,25 @@
      * @param nowMillis the monotonic time
      * @return false for some seconds after the version was named
      */
-    public boolean settled(String model, long version, long nowMillis) {
-        NavigableMap<Long, Named> versions = names.get(model);
-        Named named = versions == null ? null : versions.get(version);
-        return named == null || named.guessed() || nowMillis - named.notBefore() > SETTLED_MILLIS;
+    public boolean isSettled(String model, long version, long nowMillis) {
+        NavigableMap<Long, Publication> versions = publications.get(model);
+        Publication named = versions == null ? null : versions.get(version);
+        return named == null || named.estimated() || nowMillis - named.notBeforeMillis() > SETTLE_MILLIS;
     }
 
-    private long replacedFor(String model, long version, long nowMillis) {
-        return replacedAt(model, version).map(at -> nowMillis - at).orElse(0L);
+    private long millisSinceReplaced(String model, long version, long nowMillis) {
+        return replacedAtMillis(model, version).map(at -> nowMillis - at).orElse(0L);
     }
 
     /** No later version was named before an earlier one, so that the lowest of their times is the safe one. */
-    private Optional<Long> replacedAt(String model, long version) {
+    private Optional<Long> replacedAtMillis(String model, long version) {
         return versionsOf(model).tailMap(version, false).values().stream()
-                .map(Named::notBefore)
+                .map(Publication::notBeforeMillis)
                 .min(Comparator.naturalOrder());
     }
 
-    private NavigableMap<Long, Named> versionsOf(String model) {
-        return names.getOrDefault(model, Collections.emptyNavigableMap());
+    private NavigableMap<Long, Publication> versionsOf(String model) {
+        return publications.getOrDefault(model, Collections.emptyNavigableMap());
     }
 
     /**
@@ -236,10 +236,10 @@
      * @param replicas their ids
      * @param nowMillis the monotonic time
      */
-    public void steerAway(Set<String> replicas, long nowMillis) {
-        steered.clear();
-        steered.addAll(replicas);
-        steeredAt = nowMillis;
+    public void avoid(Set<String> replicas, long nowMillis) {
+        isAvoided.clear();
+        isAvoided.addAll(replicas);
+        avoidedSinceMillis = nowMillis;
     }
 
     /**
@@ -249,7 +249,7 @@
      * @param nowMillis the monotonic time
      * @return whether new requests should go elsewhere
      */
-    public boolean steered(String replica, long nowMillis) {
-        return steered.contains(replica) && nowMillis - steeredAt < STEER_LIFE_MILLIS;
+    public boolean isAvoided(String replica, long nowMillis) {
+        return isAvoided.contains(replica) && nowMillis - avoidedSinceMillis < AVOID_NOTICE_TTL_MILLIS;
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/WorkHints.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/WorkHints.java
@@ -21,15 +21,15 @@
  */
 public final class WorkHints {
     /** How soon other routers with work hear of a request. A replica reads a long prompt in about this time. */
-    private static final long FLUSH_MILLIS = 40;
+    private static final long FLUSH_INTERVAL_MILLIS = 40;
     /**
      * With more routers at work than this, hints go out less often, so that their bytes grow with the routers, not
      * faster.
      */
-    private static final int FULL_RATE_ROUTERS = 16;
+    private static final int MAX_FULL_RATE_ROUTERS = 16;
 
     /** How often routers without work hear of this one's, so that they know whom to name and what to begin with. */
-    private static final long REPEAT_MILLIS = 500;
+    private static final long BROADCAST_INTERVAL_MILLIS = 500;
     /** Routers that hear every hint; more would cost each router more as the fleet grows. */
     private static final int MAX_PEERS = 96;
 
@@ -37,14 +37,14 @@
     private final Clock clock;
     private final ReplicaRegistry registry;
     private final Supplier<List<String>> peers;
-    private final WorkingRouters working;
+    private final WorkingRouters workingRouters;
     private final PeerDatagrams datagrams;
     private final BiConsumer<LiveReplica, WorkHint.Send> onSend;
-    private final List<WorkHint.Send> sends = new ArrayList<>();
-    private List<WorkHint.Total> told = List.of();
-    private long toldAllAt;
+    private final List<WorkHint.Send> pendingSends = new ArrayList<>();
+    private List<WorkHint.Total> lastTotals = List.of();
+    private long lastBroadcastMillis;
     private ScheduledRunnable nextFlush;
-    private boolean idle;
+    private boolean idleInterval;
 
     /**
      * Makes hints that are not told yet.
@@ -69,14 +69,14 @@
         this.clock = clock;
         this.registry = registry;
         this.peers = peers;
-        this.working = working;
+        this.workingRouters = working;
         this.datagrams = datagrams;
         this.onSend = onSend;
     }
 
     /** Starts to tell and to take hints. */
     public void start() {
-        datagrams.listen((from, bytes) -> WorkHint.decode(bytes).ifPresent(hint -> take(from, hint)));
+        datagrams.addListener((from, bytes) -> WorkHint.decode(bytes).ifPresent(hint -> apply(from, hint)));
         flush();
     }
 
@@ -86,18 +86,18 @@
      * @param replica the replica
      * @param choice how it was chosen
      */
-    public void sent(LiveReplica replica, EngineChoice choice) {
+    public void recordSent(LiveReplica replica, EngineChoice choice) {
         int read = (int) Math.round(choice.readMillis());
         int store = (int) Math.round(choice.storeMillis());
-        sends.add(new WorkHint.Send(replica.hash(), choice.beginning(), read, store));
-        if (idle) {
+        pendingSends.add(new WorkHint.Send(replica.hash(), choice.beginning(), read, store));
+        if (idleInterval) {
             nextFlush.cancel();
-            flushIn(FLUSH_MILLIS);
+            scheduleFlush(FLUSH_INTERVAL_MILLIS);
         }
     }
 
-    private void flushIn(long millis) {
-        idle = millis == REPEAT_MILLIS;
+    private void scheduleFlush(long millis) {
+        idleInterval = millis == BROADCAST_INTERVAL_MILLIS;
         nextFlush = reactor.delayBackground(millis, this::flush);
     }
 
@@ -111,23 +111,23 @@
                         r.load().ownLongAnswers(),
                         r.load().ownMemoryTokens()))
                 .toList();
-        int rate = (int) Math.ceil(working.ownRate(now));
-        boolean news = !sends.isEmpty() || !totals.equals(told);
-        boolean repeat = (rate > 0 || !totals.isEmpty()) && now - toldAllAt > REPEAT_MILLIS;
-        Set<String> near = Set.copyOf(working.others(now));
+        int rate = (int) Math.ceil(workingRouters.ownRate(now));
+        boolean news = !pendingSends.isEmpty() || !totals.equals(lastTotals);
+        boolean repeat = (rate > 0 || !totals.isEmpty()) && now - lastBroadcastMillis > BROADCAST_INTERVAL_MILLIS;
+        Set<String> near = Set.copyOf(workingRouters.others(now));
         if (news || repeat) {
-            send(new WorkHint(rate, withEnded(totals), List.copyOf(sends)), near);
-            told = totals;
+            send(new WorkHint(rate, withFinished(totals), List.copyOf(pendingSends)), near);
+            lastTotals = totals;
         }
         if (repeat) {
             Set<String> far = new HashSet<>(peers.get());
             far.removeAll(near);
             send(new WorkHint(rate, totals, List.of()), far);
-            toldAllAt = now;
+            lastBroadcastMillis = now;
         }
-        sends.clear();
-        long slower = Math.max(1, near.size() / FULL_RATE_ROUTERS);
-        flushIn(totals.isEmpty() && rate == 0 ? REPEAT_MILLIS : FLUSH_MILLIS * slower);
+        pendingSends.clear();
+        long slower = Math.max(1, near.size() / MAX_FULL_RATE_ROUTERS);
+        scheduleFlush(totals.isEmpty() && rate == 0 ? BROADCAST_INTERVAL_MILLIS : FLUSH_INTERVAL_MILLIS * slower);
     }
 
     private void send(WorkHint hint, Set<String> to) {
@@ -136,18 +136,18 @@
     }
 
     /** Replicas where the router had work, and has none now, are told with zero. */
-    private List<WorkHint.Total> withEnded(List<WorkHint.Total> totals) {
+    private List<WorkHint.Total> withFinished(List<WorkHint.Total> totals) {
         List<WorkHint.Total> all = new ArrayList<>(totals);
-        told.stream()
+        lastTotals.stream()
                 .filter(t -> totals.stream().noneMatch(n -> n.replica() == t.replica()))
                 .forEach(t -> all.add(new WorkHint.Total(t.replica(), 0, 0, 0)));
         return all;
     }
 
-    private void take(String from, WorkHint hint) {
+    private void apply(String from, WorkHint hint) {
         long now = clock.monotonicMillis();
         if (hint.requestsPerSecond() > 0 || !hint.sends().isEmpty()) {
-            working.heard(from, hint.requestsPerSecond(), now);
+            workingRouters.heard(from, hint.requestsPerSecond(), now);
         }
         hint.totals().forEach(t -> registry.byHash(t.replica())
                 .ifPresent(r -> r.load().hinted(from, t.running(), t.longAnswers(), t.memoryTokens(), now)));
--- a/gateway/src/test/java/org/hornbeamhead/gateway/dispatch/BeginLimitsTest.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/dispatch/BeginLimitsTest.java
@@ -48,7 +48,7 @@
     }
 
     private void name(long version) {
-        view.name("m", version, clock.monotonicMillis());
+        view.recordPublished("m", version, clock.monotonicMillis());
     }
 
     @DataProvider
@@ -87,11 +87,11 @@
     @Test
     public void heedsAnEarlierTimeOfNaming() {
         timers.advance(2 * BOUND);
-        view.found("m", 2, clock.monotonicMillis());
+        view.recordFound("m", 2, clock.monotonicMillis());
         wait("r", FIRST);
         timers.advance(BEFORE_NAMING);
         assertEquals(takenBack, List.of());
-        view.told(new NamedAge("m", 2, BOUND, false), clock.monotonicMillis());
+        view.recordFromPeer(new NamedAge("m", 2, BOUND, false), clock.monotonicMillis());
         timers.advance(BeginLimits.LOOK_MILLIS);
         assertEquals(takenBack, List.of("r"));
     }
@@ -105,7 +105,7 @@
         name(2);
         wait("r", FIRST);
         timers.advance(BEFORE_NAMING);
-        view.doubt(BOUND);
+        view.addSuspendedTime(BOUND);
         timers.advance(BeginLimits.LOOK_MILLIS);
         assertEquals(takenBack, List.of("r"));
     }
--- a/gateway/src/test/java/org/hornbeamhead/gateway/duty/DutyWorld.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/duty/DutyWorld.java
@@ -85,8 +85,8 @@
     /** A router that hears of each change in the store some time after it. */
     Router lateRouter(String name, int rank, long hearMillis) {
         StoreMirror seen = new StoreMirror();
-        seen.apply(mirror.since(0));
-        mirror.listen(item ->
+        seen.apply(mirror.changesSince(0));
+        mirror.addListener(item ->
                 timers.schedule(hearMillis, () -> seen.apply(new StoreChanges(List.of(item), item.revision(), false))));
         return new Router(this, name, rank, seen);
     }
@@ -101,7 +101,7 @@
 
     /** Names weights, and tells the routers so. */
     void name(long version) {
-        weights.name(FakeReplicas.MODEL, version, clock.monotonicMillis());
+        weights.recordPublished(FakeReplicas.MODEL, version, clock.monotonicMillis());
         routers.stream().filter(r -> !r.killed).forEach(r -> r.duty.look());
     }
 }
--- a/gateway/src/test/java/org/hornbeamhead/gateway/duty/FakePlatformStore.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/duty/FakePlatformStore.java
@@ -32,7 +32,7 @@
 
     /** The lease with which a key lives ends, if it lives with one. */
     void lapse(String key) {
-        Optional.ofNullable(leaseOf.get(key)).ifPresent(this::end);
+        Optional.ofNullable(leaseOf.get(key)).ifPresent(this::revoke);
     }
 
     @Override
@@ -91,7 +91,7 @@
     }
 
     @Override
-    public Promise<Void> end(String lease) {
+    public Promise<Void> revoke(String lease) {
         leases.remove(lease);
         List<String> gone = leaseOf.keySet().stream()
                 .filter(key -> leaseOf.get(key).equals(lease))
--- a/gateway/src/test/java/org/hornbeamhead/gateway/state/PeerDatagramsTest.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/state/PeerDatagramsTest.java
@@ -18,18 +18,18 @@
 
     /** Guards against one datagram after which a router hears none any more. */
     @Test
-    public void aDatagramThatCannotBeTakenOverDoesNotStopTheNextOne() throws IOException {
+    public void failingListenerDoesNotStopLaterDatagrams() throws IOException {
         Eventloop reactor = Eventloop.builder().withCurrentThread().build();
         PeerDatagrams datagrams = new PeerDatagrams(reactor);
         List<Byte> heard = new ArrayList<>();
-        datagrams.listen((from, bytes) -> {
+        datagrams.addListener((from, bytes) -> {
             heard.add(bytes[0]);
             if (bytes[0] == 1) {
                 throw new IllegalStateException("not taken over");
             }
             reactor.breakEventloop();
         });
-        datagrams.listen((from, bytes) -> heard.add((byte) -bytes[0]));
+        datagrams.addListener((from, bytes) -> heard.add((byte) -bytes[0]));
         try (DatagramSocket sender = new DatagramSocket()) {
             datagrams.start(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             for (byte b : new byte[] {1, 2}) {
--- a/gateway/src/test/java/org/hornbeamhead/gateway/state/ReadOnlyStore.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/state/ReadOnlyStore.java
@@ -23,7 +23,7 @@
     }
 
     @Override
-    default Promise<Void> end(String lease) {
+    default Promise<Void> revoke(String lease) {
         throw new UnsupportedOperationException();
     }
 }
--- a/gateway/src/test/java/org/hornbeamhead/gateway/state/RouterListTest.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/state/RouterListTest.java
@@ -25,15 +25,15 @@
     }
 
     @DataProvider
-    public Object[][] damaged() {
-        return new Object[][] {{""}, {"null"}, {"{}"}, {"7"}, {OTHER.text().replace("\"10.0.0.2:80\"", "null")}};
+    public Object[][] malformedEntries() {
+        return new Object[][] {{""}, {"null"}, {"{}"}, {"7"}, {OTHER.toJson().replace("\"10.0.0.2:80\"", "null")}};
     }
 
     /** Guards against one damaged entry after which callers are told nothing at all. */
-    @Test(dataProvider = "damaged")
-    public void aDamagedEntryIsLeftOut(String text) {
-        routers.changed(item("n2", OTHER.text()));
-        routers.changed(item("n3", text));
+    @Test(dataProvider = "malformedEntries")
+    public void malformedEntryIsIgnored(String text) {
+        routers.update(item("n2", OTHER.toJson()));
+        routers.update(item("n3", text));
         assertEquals(
                 routers.callerAddresses(8, 1_000).stream().sorted().toList(), List.of(SELF.caller(), OTHER.caller()));
     }
--- a/gateway/src/test/java/org/hornbeamhead/gateway/state/ReaderFleet.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/state/SimulatedFleet.java
@@ -15,7 +15,7 @@
 import org.hornbeamhead.core.time.ManualTimers;
 
 /** Routers that learn of changes, before one store, in virtual time. Replicas renew their entries all the while. */
-final class ReaderFleet {
+final class SimulatedFleet {
     static final String MODEL = "m";
     static final long BOUND_MILLIS = 8_000;
 
@@ -23,38 +23,38 @@
     private static final int REPLICAS = 62;
     private static final long RENEWAL_MILLIS = 1_200;
     private static final long HOP_MILLIS = 2;
-    private static final String WEIGHTS = "weights/";
-    private static final String REPLICA = "replica/";
+    private static final String WEIGHTS_PREFIX = "weights/";
+    private static final String REPLICA_PREFIX = "replica/";
 
     final ManualClock clock = new ManualClock(1_000_000);
     final ManualTimers timers = new ManualTimers(clock);
-    final VirtualStore store = new VirtualStore(timers);
+    final SimulatedStore store = new SimulatedStore(timers);
     final List<Member> members = new ArrayList<>();
 
     private final Random random = new Random(SEED);
 
     /** Whether two routers can reach one another. */
-    BiPredicate<Member, Member> linked = (a, b) -> true;
+    BiPredicate<Member, Member> connected = (a, b) -> true;
 
     /** Whether replicas renew their entries. */
-    boolean renewing = true;
+    boolean renewalsEnabled = true;
 
     private long renewals;
 
-    ReaderFleet(int routers) {
+    SimulatedFleet(int routers) {
         for (int i = 0; i < REPLICAS; i++) {
             renew("r" + i);
         }
         for (int i = 0; i < routers; i++) {
             members.add(new Member("n" + i, "d" + i % 6, i % 5 == 0 ? 195 : 28));
         }
-        members.forEach(m -> store.put(m.entry.key(), m.entry.text()));
+        members.forEach(m -> store.put(m.entry.key(), m.entry.toJson()));
         members.forEach(Member::start);
     }
 
     private void renew(String replica) {
-        if (renewing) {
-            store.put(REPLICA + replica, "ready " + renewals++);
+        if (renewalsEnabled) {
+            store.put(REPLICA_PREFIX + replica, "ready " + renewals++);
         }
         timers.schedule(RENEWAL_MILLIS + random.nextInt(50), () -> renew(replica));
     }
@@ -72,15 +72,15 @@
     }
 
     /** Names weights, and tells when. */
-    long name(long version) {
-        store.put(WEIGHTS + MODEL, Long.toString(version));
+    long publish(long version) {
+        store.put(WEIGHTS_PREFIX + MODEL, Long.toString(version));
         return clock.monotonicMillis();
     }
 
     /** Lets time pass until all of some routers know a version; tells how long that took. */
     long millisUntilKnown(long version, List<Member> who) {
         long from = clock.monotonicMillis();
-        while (who.stream().anyMatch(m -> m.weights.named(MODEL) < version)) {
+        while (who.stream().anyMatch(m -> m.weights.latestVersion(MODEL) < version)) {
             timers.advance(1);
             if (clock.monotonicMillis() - from > 60_000) {
                 throw new AssertionError("not known to all after a minute");
@@ -100,10 +100,10 @@
         WeightsView weights;
         RouterList list;
         StoreView view;
-        private int life;
-        private final List<Runnable> whenThawed = new ArrayList<>();
-        private Map<String, String> contents;
-        final List<Long> revisions = new ArrayList<>();
+        private int generation;
+        private final List<Runnable> deferred = new ArrayList<>();
+        private Map<String, String> states;
+        final List<Long> publishedRevisions = new ArrayList<>();
 
         private Member(String node, String dataCentre, double capacity) {
             entry = new RouterEntry(node, node + ":c", node + ":p", node + ":h", dataCentre, capacity, 0);
@@ -112,20 +112,20 @@
         void start() {
             alive = true;
             frozen = false;
-            life++;
-            revisions.clear();
-            contents = new HashMap<>();
+            generation++;
+            publishedRevisions.clear();
+            states = new HashMap<>();
             mirror = new StoreMirror();
             state = new RoutingState();
             weights = new WeightsView(BOUND_MILLIS);
             list = new RouterList(entry, () -> true, clock);
-            SuspensionWatch watch = new SuspensionWatch(this::schedule, clock, millis -> {});
+            SuspensionDetector watch = new SuspensionDetector(this::schedule, clock, millis -> {});
             WeightsListener listener = new WeightsListener(clock, mirror, state, weights);
             view = new StoreView(new StoreView.Parts(
                     this::schedule,
                     clock,
                     random,
-                    store.linkOf(() -> reachesStore),
+                    store.clientFor(() -> reachesStore),
                     mirror,
                     state,
                     weights,
@@ -133,35 +133,35 @@
                     list,
                     entry.node(),
                     () -> list.peerAddresses(List.of()),
-                    this::ask,
-                    this::ask));
-            mirror.listen(item -> changed(item, listener));
+                    this::query,
+                    this::query));
+            mirror.addListener(item -> changed(item, listener));
             view.start();
         }
 
         void kill() {
             alive = false;
-            life++;
+            generation++;
         }
 
-        void thaw() {
+        void resume() {
             frozen = false;
-            List<Runnable> late = List.copyOf(whenThawed);
-            whenThawed.clear();
+            List<Runnable> late = List.copyOf(deferred);
+            deferred.clear();
             late.forEach(Runnable::run);
         }
 
         private void schedule(long delay, Runnable action) {
-            int mine = life;
+            int mine = generation;
             timers.schedule(delay, () -> run(mine, action));
         }
 
         private void run(int mine, Runnable action) {
-            if (mine != life) {
+            if (mine != generation) {
                 return;
             }
             if (frozen) {
-                whenThawed.add(action);
+                deferred.add(action);
             } else {
                 action.run();
             }
@@ -169,34 +169,34 @@
 
         private void changed(StoreItem item, WeightsListener listener) {
             String content = item.removed() ? "" : item.value().split(" ", 2)[0];
-            String before = contents.put(item.key(), content);
+            String before = states.put(item.key(), content);
             if (item.key().startsWith(RouterEntry.PREFIX)) {
-                list.changed(item);
-            } else if (item.key().startsWith(WEIGHTS)) {
-                listener.named(MODEL, Long.parseLong(item.value()), item.revision());
-                revisions.add(item.revision());
+                list.update(item);
+            } else if (item.key().startsWith(WEIGHTS_PREFIX)) {
+                listener.versionPublished(MODEL, Long.parseLong(item.value()), item.revision());
+                publishedRevisions.add(item.revision());
             }
-            if (!item.key().startsWith(REPLICA) || !content.equals(before)) {
-                view.changed(item);
+            if (!item.key().startsWith(REPLICA_PREFIX) || !content.equals(before)) {
+                view.recordChange(item);
             }
         }
 
-        private Promise<MirrorAnswer> ask(String peer, long after, Duration wait) {
+        private Promise<MirrorAnswer> query(String peer, long after, Duration wait) {
             SettablePromise<MirrorAnswer> answer = new SettablePromise<>();
             Member other = member(peer.substring(0, peer.indexOf(':')));
             schedule(wait.toMillis() + 300, () -> answer.trySetException(new StoreUnavailableException("silent")));
             timers.schedule(HOP_MILLIS, () -> {
-                if (!linked.test(this, other)) {
+                if (!connected.test(this, other)) {
                     return;
                 }
                 if (!other.alive) {
                     schedule(0, () -> answer.trySetException(new StoreUnavailableException("refused")));
                     return;
                 }
-                other.run(other.life, () -> other.view
-                        .ask(after, wait.toMillis())
+                other.run(other.generation, () -> other.view
+                        .query(after, wait.toMillis())
                         .whenResult(told -> schedule(HOP_MILLIS, () -> {
-                            if (linked.test(this, other)) {
+                            if (connected.test(this, other)) {
                                 answer.trySet(told);
                             }
                         })));
--- a/gateway/src/test/java/org/hornbeamhead/gateway/state/VirtualStore.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/state/SimulatedStore.java
@@ -14,9 +14,9 @@
 import org.hornbeamhead.core.time.Timers;
 
 /** The platform's store in virtual time, with a link of its own for each router. */
-final class VirtualStore {
+final class SimulatedStore {
     private static final long ANSWER_MILLIS = 4;
-    private static final long SILENCE_MILLIS = 600;
+    private static final long TIMEOUT_MILLIS = 600;
 
     private final Timers timers;
     private final Map<String, StoreItem> items = new TreeMap<>();
@@ -24,7 +24,7 @@
     private long revision = 1;
     int reads;
 
-    VirtualStore(Timers timers) {
+    SimulatedStore(Timers timers) {
         this.timers = timers;
     }
 
@@ -51,14 +51,14 @@
      * @param reachable whether calls are answered; a call whose answer finds the link cut fails when it is given up
      * @return the store as the router sees it
      */
-    PlatformStore linkOf(BooleanSupplier reachable) {
-        return new Link(reachable);
+    PlatformStore clientFor(BooleanSupplier reachable) {
+        return new Client(reachable);
     }
 
-    private final class Link implements ReadOnlyStore {
+    private final class Client implements ReadOnlyStore {
         private final BooleanSupplier reachable;
 
-        Link(BooleanSupplier reachable) {
+        Client(BooleanSupplier reachable) {
             this.reachable = reachable;
         }
 
@@ -84,7 +84,7 @@
                     end.run();
                 }
             });
-            timers.schedule(wait.toMillis() + SILENCE_MILLIS, () -> fail(answer));
+            timers.schedule(wait.toMillis() + TIMEOUT_MILLIS, () -> fail(answer));
             return answer;
         }
 
@@ -101,7 +101,7 @@
                     answer.trySet(changes.get());
                 }
             });
-            timers.schedule(waitMillis + SILENCE_MILLIS, () -> fail(answer));
+            timers.schedule(waitMillis + TIMEOUT_MILLIS, () -> fail(answer));
             return answer;
         }
 
--- a/gateway/src/test/java/org/hornbeamhead/gateway/state/StoreFollowerTest.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/state/StoreFollowerTest.java
@@ -23,17 +23,17 @@
     private ManualTimers timers;
     private RoutingState state;
     private StoreMirror mirror;
-    private SlowStore store;
+    private PendingStore store;
     private StoreFollower follower;
 
-    private static final class SlowStore implements ReadOnlyStore {
+    private static final class PendingStore implements ReadOnlyStore {
         private SettablePromise<StoreChanges> answer;
-        private boolean asked;
+        private boolean requested;
 
         @Override
         public Promise<StoreChanges> readAll() {
             answer = new SettablePromise<>();
-            asked = true;
+            requested = true;
             return answer;
         }
 
@@ -44,7 +44,7 @@
     }
 
     @DataProvider
-    public Object[][] waits() {
+    public Object[][] answerDelays() {
         return new Object[][] {{4L, 0L}, {150L, 0L}, {700L, 500L}, {2_000L, 1_800L}};
     }
 
@@ -53,16 +53,16 @@
      * wrong idea of how old its view is. A question that is answered at once proves the time of its sending. One that
      * waited was answered just now, since the store answers with the first change.
      */
-    @Test(dataProvider = "waits")
-    public void anAnswerProvesItsQuestionOrAMomentAgo(long waitMillis, long provenMillis) {
-        begin(millis -> {});
+    @Test(dataProvider = "answerDelays")
+    public void answerSetsCompleteUpTo(long waitMillis, long provenMillis) {
+        start(millis -> {});
         clock.advance(waitMillis);
         store.answer.set(new StoreChanges(List.of(), 5, true));
-        assertEquals(state.provenAt(), 10_000);
-        long sent = ask();
+        assertEquals(state.completeUpTo(), 10_000);
+        long sent = awaitRequest();
         clock.advance(waitMillis);
         store.answer.set(new StoreChanges(List.of(), 6, false));
-        assertEquals(state.provenAt(), sent + provenMillis);
+        assertEquals(state.completeUpTo(), sent + provenMillis);
     }
 
     /**
@@ -71,17 +71,17 @@
      * seconds for which replaced weights may be used are lost, and callers are given back.
      */
     @Test
-    public void aNameThatEndsAWaitIsNew() {
-        begin(millis -> {});
+    public void versionEndingAWaitCountsFromTheAnswer() {
+        start(millis -> {});
         WeightsView weights = new WeightsView(8_000);
         WeightsListener listener = new WeightsListener(clock, mirror, state, weights);
-        mirror.listen(i -> listener.named("m", Long.parseLong(i.value()), i.revision()));
+        mirror.addListener(i -> listener.versionPublished("m", Long.parseLong(i.value()), i.revision()));
         store.answer.set(new StoreChanges(List.of(new StoreItem("w", 4, "1", false)), 5, true));
-        ask();
+        awaitRequest();
         clock.advance(2_000);
         store.answer.set(new StoreChanges(List.of(), 5, false));
         clock.advance(1_000);
-        ask();
+        awaitRequest();
         clock.advance(1_900);
         store.answer.set(new StoreChanges(List.of(new StoreItem("w", 6, "2", false)), 6, false));
         long left = weights.usableMillis("m", 1, clock.monotonicMillis());
@@ -94,46 +94,46 @@
      * key that was given meanwhile be denied for good on the strength of it.
      */
     @Test
-    public void anAnswerThatLayInTheBufferProvesNothing() {
-        begin(millis -> state.doubt(millis, clock.monotonicMillis()));
+    public void answerBufferedDuringSuspensionProvesNothing() {
+        start(millis -> state.addSuspendedTime(millis, clock.monotonicMillis()));
         store.answer.set(new StoreChanges(List.of(), 5, true));
-        long sent = ask();
+        long sent = awaitRequest();
         clock.advance(900);
         clock.skewWall(5_000);
         store.answer.set(new StoreChanges(List.of(), 6, false));
-        assertTrue(state.provenAt() <= sent - 5_000, "proven at " + state.provenAt());
-        assertFalse(state.surelyFresh(clock.monotonicMillis()));
+        assertTrue(state.completeUpTo() <= sent - 5_000, "proven at " + state.completeUpTo());
+        assertFalse(state.isFresh(clock.monotonicMillis()));
     }
 
-    private void begin(LongConsumer stoodStill) {
+    private void start(LongConsumer stoodStill) {
         clock = new ManualClock(1_000_000);
         timers = new ManualTimers(clock);
         clock.advance(10_000);
         state = new RoutingState();
         mirror = new StoreMirror();
-        store = new SlowStore();
-        SuspensionWatch watch = new SuspensionWatch(new ManualTimers(clock), clock, stoodStill);
+        store = new PendingStore();
+        SuspensionDetector watch = new SuspensionDetector(new ManualTimers(clock), clock, stoodStill);
         RouterEntry self = new RouterEntry("n", "", "", "", "d", 1, 0);
-        ChangeReaders readers = new ChangeReaders(clock, () -> List.of(self), "n", (peer, after, wait) -> {
+        ReaderClient readers = new ReaderClient(clock, () -> List.of(self), "n", (peer, after, wait) -> {
             throw new AssertionError("a reader asks no other router");
         });
-        MirrorIntake intake = new MirrorIntake(clock, mirror, state, new WeightsView(8_000), watch);
+        MirrorUpdater intake = new MirrorUpdater(clock, mirror, state, new WeightsView(8_000), watch);
         follower = new StoreFollower(new StoreFollower.Parts(
                 timers, clock, new Random(1), store, mirror, state, watch, () -> 1, readers, intake));
         follower.start();
     }
 
     /** Lets the follower send its next question. */
-    private long ask() {
-        store.asked = false;
-        while (!store.asked) {
+    private long awaitRequest() {
+        store.requested = false;
+        while (!store.requested) {
             timers.advance(1);
         }
         return clock.monotonicMillis();
     }
 
     @DataProvider
-    public Object[][] absences() {
+    public Object[][] outages() {
         return new Object[][] {{100L, 0L}, {700L, 0L}, {2_600L, 2_000L}, {9_000L, 2_000L}};
     }
 
@@ -142,16 +142,16 @@
      * believe the removal that comes with its next read at once, or it sends requests to the replica for two seconds
      * more. After an outage that is long enough for entries to lapse it waits for them to come back.
      */
-    @Test(dataProvider = "absences")
-    public void onlyAnOutageInWhichEntriesLapseDelaysRemovals(long awayMillis, long waitMillis) {
-        begin(millis -> {});
+    @Test(dataProvider = "outages")
+    public void onlyOutagesThatExpireEntriesDelayRemovals(long awayMillis, long waitMillis) {
+        start(millis -> {});
         store.answer.set(new StoreChanges(List.of(), 5, true));
-        ask();
+        awaitRequest();
         store.answer.setException(new StoreUnavailableException("cut"));
         clock.advance(awayMillis);
-        assertTrue(follower.away());
+        assertTrue(follower.isDisconnected());
         assertEquals(follower.relistMillis(), waitMillis);
-        ask();
+        awaitRequest();
         store.answer.set(new StoreChanges(List.of(), 6, false));
         assertEquals(follower.relistMillis(), waitMillis);
         clock.advance(2_000);
@@ -159,13 +159,13 @@
     }
 
     @DataProvider
-    public Object[][] fleets() {
+    public Object[][] fleetSizes() {
         return new Object[][] {{1, 40}, {2, 40}, {8, 128}, {63, 1_000}, {610, 1_000}};
     }
 
-    @Test(dataProvider = "fleets")
-    public void gathersChangesForLongerWithMoreRouters(int routers, long millis) {
-        assertEquals(StoreFollower.gatherMillis(routers), millis);
+    @Test(dataProvider = "fleetSizes")
+    public void batchDelayGrowsWithRouters(int routers, long millis) {
+        assertEquals(StoreFollower.batchMillis(routers), millis);
     }
 
     /**
@@ -173,8 +173,8 @@
      * operators pay for each call, and beyond the store's rate callers are served on old entries: up to 84 routers
      * together must stay far below 6,000 reads a second.
      */
-    @Test(dataProvider = "fleets")
-    public void allRoutersTogetherReadLittle(int routers, long millis) {
+    @Test(dataProvider = "fleetSizes")
+    public void totalReadRateIsBounded(int routers, long millis) {
         assertTrue(routers * 1_000L / millis <= Math.max(64, routers), "calls a second");
     }
 }
--- a/gateway/src/test/java/org/hornbeamhead/gateway/state/StoreViewTest.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/state/StoreViewTest.java
@@ -5,7 +5,7 @@
 
 import java.util.List;
 import java.util.function.Consumer;
-import org.hornbeamhead.gateway.state.ReaderFleet.Member;
+import org.hornbeamhead.gateway.state.SimulatedFleet.Member;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -13,23 +13,23 @@
 public class StoreViewTest {
     private static final long SETTLE_MILLIS = 5_000;
     /** A fault may come at any moment of the half a second that a question waits. */
-    private static final long ROUND_MILLIS = 500;
+    private static final long WAIT_MILLIS = 500;
     /** In a sound fleet a name must be known to all routers within this time. */
-    private static final long KNOWN_MILLIS = 200;
+    private static final long MAX_PROPAGATION_MILLIS = 200;
     /** What the loss of one reader may cost those that wait at it. */
-    private static final long FRACTION_OF_A_SECOND = 900;
+    private static final long ONE_TIMEOUT_MILLIS = 900;
     /**
      * What the loss of both readers of a router may cost it. A small fleet must have a configuration in force within
      * two seconds, of which a quarter is left for a busy host.
      */
-    private static final long TWO_LIMITS_MILLIS = 1_500;
+    private static final long TWO_TIMEOUTS_MILLIS = 1_500;
     /**
      * The time within which a configuration must be in force in a large fleet, also where the store turns hosts away.
      */
-    private static final long IN_FORCE_MILLIS = 4_000;
+    private static final long LARGE_FLEET_MILLIS = 4_000;
 
     @DataProvider
-    public Object[][] sizes() {
+    public Object[][] fleetSizes() {
         return new Object[][] {{2}, {8}, {68}, {95}, {300}};
     }
 
@@ -37,15 +37,15 @@
      * Operators pay for each call to the store, and callers are served on old weights until the last router has heard
      * of new ones. Both must not grow with the fleet, though replicas renew their entries all the time.
      */
-    @Test(dataProvider = "sizes")
-    public void aNameIsKnownToAllSoonAtAPriceThatDoesNotGrow(int routers) {
-        ReaderFleet fleet = new ReaderFleet(routers);
+    @Test(dataProvider = "fleetSizes")
+    public void versionsPropagateWithReadsIndependentOfFleetSize(int routers) {
+        SimulatedFleet fleet = new SimulatedFleet(routers);
         fleet.timers.advance(SETTLE_MILLIS);
         int before = fleet.store.reads;
         for (int version = 1; version <= 10; version++) {
-            long at = fleet.name(version);
+            long at = fleet.publish(version);
             long known = fleet.millisUntilKnown(version, fleet.members);
-            assertTrue(known <= KNOWN_MILLIS, "known to all after " + known);
+            assertTrue(known <= MAX_PROPAGATION_MILLIS, "known to all after " + known);
             assertBounds(fleet.members, version, at);
             fleet.timers.advance(1_000 - known);
         }
@@ -56,12 +56,12 @@
     /** What is used must never be allowed for longer than the bound, and not be given up much sooner. */
     private static void assertBounds(List<Member> who, long version, long namedAt) {
         for (Member m : who) {
-            long end = m.weights.usableMillis(ReaderFleet.MODEL, version - 1, namedAt);
-            assertTrue(version == 1 || end <= ReaderFleet.BOUND_MILLIS, m.entry.node() + " allows " + end);
+            long end = m.weights.usableMillis(SimulatedFleet.MODEL, version - 1, namedAt);
+            assertTrue(version == 1 || end <= SimulatedFleet.BOUND_MILLIS, m.entry.node() + " allows " + end);
         }
     }
 
-    private static Consumer<ReaderFleet> fault(Consumer<ReaderFleet> fault) {
+    private static Consumer<SimulatedFleet> fault(Consumer<SimulatedFleet> fault) {
         return fault;
     }
 
@@ -69,34 +69,34 @@
     @DataProvider
     public Object[][] faults() {
         return new Object[][] {
-            {"a reader is killed", fault(f -> f.readers().get(0).kill()), FRACTION_OF_A_SECOND},
-            {"all readers are killed at once", fault(f -> f.readers().forEach(Member::kill)), TWO_LIMITS_MILLIS},
-            {"a reader stands still", fault(f -> f.readers().get(0).frozen = true), FRACTION_OF_A_SECOND},
-            {"all readers stand still", fault(f -> f.readers().forEach(r -> r.frozen = true)), TWO_LIMITS_MILLIS},
-            {"the store turns one reader away", fault(f -> f.readers().get(0).reachesStore = false), IN_FORCE_MILLIS},
+            {"a reader is killed", fault(f -> f.readers().get(0).kill()), ONE_TIMEOUT_MILLIS},
+            {"all readers are killed at once", fault(f -> f.readers().forEach(Member::kill)), TWO_TIMEOUTS_MILLIS},
+            {"a reader stands still", fault(f -> f.readers().get(0).frozen = true), ONE_TIMEOUT_MILLIS},
+            {"all readers stand still", fault(f -> f.readers().forEach(r -> r.frozen = true)), TWO_TIMEOUTS_MILLIS},
+            {"the store turns one reader away", fault(f -> f.readers().get(0).reachesStore = false), LARGE_FLEET_MILLIS},
             {
                 "the store turns all readers away",
                 fault(f -> f.readers().forEach(r -> r.reachesStore = false)),
-                IN_FORCE_MILLIS
+                LARGE_FLEET_MILLIS
             },
             {
                 "the store turns every other router away",
                 fault(f -> f.members.forEach(m -> m.reachesStore = f.members.indexOf(m) % 2 == 0)),
-                IN_FORCE_MILLIS
+                LARGE_FLEET_MILLIS
             },
             {
                 "the fleet is cut in two",
-                fault(f -> f.linked = (a, b) -> f.members.indexOf(a) % 2 == f.members.indexOf(b) % 2),
-                IN_FORCE_MILLIS
+                fault(f -> f.connected = (a, b) -> f.members.indexOf(a) % 2 == f.members.indexOf(b) % 2),
+                LARGE_FLEET_MILLIS
             },
-            {"routers cannot reach one another", fault(f -> f.linked = (a, b) -> a == b), IN_FORCE_MILLIS},
+            {"routers cannot reach one another", fault(f -> f.connected = (a, b) -> a == b), LARGE_FLEET_MILLIS},
             {
                 "all are killed and start again",
                 fault(f -> f.members.forEach(m -> {
                     m.kill();
                     m.start();
                 })),
-                FRACTION_OF_A_SECOND
+                ONE_TIMEOUT_MILLIS
             },
         };
     }
@@ -107,25 +107,25 @@
      * are heard as soon as before, and no router counts a name from later than it was given.
      */
     @Test(dataProvider = "faults")
-    public void aLostReaderCostsItsFollowersLittle(String name, Consumer<ReaderFleet> fault, long millis) {
-        for (long phase = 0; phase < ROUND_MILLIS; phase += ROUND_MILLIS / 4) {
-            lose(name, fault, phase, millis);
+    public void faultsDelayPropagationOnlyBriefly(String name, Consumer<SimulatedFleet> fault, long millis) {
+        for (long phase = 0; phase < WAIT_MILLIS; phase += WAIT_MILLIS / 4) {
+            verifyPropagation(name, fault, phase, millis);
         }
     }
 
-    private static void lose(String name, Consumer<ReaderFleet> fault, long phase, long millis) {
-        ReaderFleet fleet = new ReaderFleet(40);
-        fleet.name(1);
+    private static void verifyPropagation(String name, Consumer<SimulatedFleet> fault, long phase, long millis) {
+        SimulatedFleet fleet = new SimulatedFleet(40);
+        fleet.publish(1);
         fleet.timers.advance(SETTLE_MILLIS + phase);
         fault.accept(fleet);
         List<Member> hearing =
                 fleet.members.stream().filter(m -> m.alive && !m.frozen).toList();
-        long at = fleet.name(2);
+        long at = fleet.publish(2);
         long known = fleet.millisUntilKnown(2, hearing);
         assertTrue(known <= millis, name + ": known to all after " + known);
         assertBounds(hearing, 2, at);
         fleet.timers.advance(SETTLE_MILLIS);
-        at = fleet.name(3);
+        at = fleet.publish(3);
         long later = fleet.millisUntilKnown(3, hearing);
         assertTrue(later <= 1_300, name + ": a later name was known after " + later);
         assertBounds(hearing, 3, at);
@@ -136,20 +136,20 @@
      * followers have heard of the name elsewhere; the old answer must neither take them back nor make a name look new.
      */
     @Test
-    public void theLateAnswerOfAReaderThatStoodStillTakesNobodyBack() {
-        ReaderFleet fleet = new ReaderFleet(40);
-        fleet.name(1);
+    public void lateAnswerFromFrozenReaderChangesNothing() {
+        SimulatedFleet fleet = new SimulatedFleet(40);
+        fleet.publish(1);
         fleet.timers.advance(SETTLE_MILLIS);
         Member reader = fleet.readers().get(0);
         reader.frozen = true;
-        long at = fleet.name(2);
+        long at = fleet.publish(2);
         fleet.timers.advance(3_000);
-        reader.thaw();
+        reader.resume();
         fleet.timers.advance(SETTLE_MILLIS);
         assertBounds(fleet.members, 2, at);
         fleet.members.forEach(
-                m -> assertEquals(m.revisions, m.revisions.stream().sorted().toList()));
-        fleet.members.forEach(m -> assertEquals(m.weights.named(ReaderFleet.MODEL), 2));
+                m -> assertEquals(m.publishedRevisions, m.publishedRevisions.stream().sorted().toList()));
+        fleet.members.forEach(m -> assertEquals(m.weights.latestVersion(SimulatedFleet.MODEL), 2));
     }
 
     /**
@@ -158,11 +158,11 @@
      * taken from a sound replica.
      */
     @Test
-    public void removalsOfAnOutageWaitOnEveryPath() {
-        ReaderFleet fleet = new ReaderFleet(40);
+    public void removalsAfterOutageAreDelayedOnEveryPath() {
+        SimulatedFleet fleet = new SimulatedFleet(40);
         fleet.timers.advance(SETTLE_MILLIS);
         fleet.members.forEach(m -> m.reachesStore = false);
-        fleet.renewing = false;
+        fleet.renewalsEnabled = false;
         fleet.timers.advance(4_000);
         fleet.store.remove("replica/r1");
         fleet.members.forEach(m -> m.reachesStore = true);
@@ -174,15 +174,15 @@
 
     /** In a store where nothing changes, readers and their followers still know that they miss nothing. */
     @Test
-    public void aQuietStoreLeavesNobodyInDoubt() {
-        ReaderFleet fleet = new ReaderFleet(40);
+    public void idleStoreKeepsAllRoutersFresh() {
+        SimulatedFleet fleet = new SimulatedFleet(40);
         fleet.timers.advance(SETTLE_MILLIS);
-        fleet.renewing = false;
+        fleet.renewalsEnabled = false;
         for (int second = 0; second < 20; second++) {
             fleet.timers.advance(1_000);
             long now = fleet.clock.monotonicMillis();
             fleet.members.forEach(m -> assertTrue(
-                    m.state.surelyFresh(now), m.entry.node() + " was confirmed " + (now - m.state.confirmedAt())));
+                    m.state.isFresh(now), m.entry.node() + " was confirmed " + (now - m.state.confirmedAt())));
         }
     }
 }
--- a/gateway/src/test/java/org/hornbeamhead/gateway/state/SuspensionWatchTest.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/state/SuspensionDetectorTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-public class SuspensionWatchTest {
+public class SuspensionDetectorTest {
     private static final long BOUND = 8_000;
 
     @DataProvider
@@ -22,11 +22,11 @@
     }
 
     @Test(dataProvider = "jumps")
-    public void tellsHowFarTheWallClockGotAhead(long millis, List<Long> expected) {
+    public void reportsWallClockAdvance(long millis, List<Long> expected) {
         ManualClock clock = new ManualClock(1_000_000);
         ManualTimers timers = new ManualTimers(clock);
         List<Long> told = new ArrayList<>();
-        new SuspensionWatch(timers, clock, told::add).start();
+        new SuspensionDetector(timers, clock, told::add).start();
         timers.advance(1_000);
         clock.skewWall(millis);
         timers.advance(1_000);
@@ -39,36 +39,36 @@
      * another router's word, which it gets soon, says the same.
      */
     @Test
-    public void timeThatTheClockLeftOutCountsForTheBound() {
+    public void suspendedTimeCountsTowardsTheBound() {
         ManualClock clock = new ManualClock(1_000_000);
         ManualTimers timers = new ManualTimers(clock);
         WeightsView weights = new WeightsView(BOUND);
-        new SuspensionWatch(timers, clock, weights::doubt).start();
+        new SuspensionDetector(timers, clock, weights::addSuspendedTime).start();
         WeightsView other = new WeightsView(BOUND);
         long named = clock.monotonicMillis();
-        weights.name("m", 2, named);
-        other.name("m", 2, named);
+        weights.recordPublished("m", 2, named);
+        other.recordPublished("m", 2, named);
         timers.advance(2_000);
         clock.skewWall(5_000);
         timers.advance(1_000);
         long now = clock.monotonicMillis();
         assertTrue(weights.usableMillis("m", 1, now) <= 0);
-        assertTrue(weights.isUncertain());
-        other.ages(named + BOUND).forEach(age -> weights.told(age, now));
-        assertFalse(weights.isUncertain());
+        assertTrue(weights.hasEstimates());
+        other.publicationAges(named + BOUND).forEach(age -> weights.recordFromPeer(age, now));
+        assertFalse(weights.hasEstimates());
         assertTrue(weights.usableMillis("m", 1, now) <= 0);
     }
 
     /** The wall clock alone was set: other routers' word restores what was known. */
     @Test
-    public void aClockThatWasSetDoesNotEndTheUseOfWeights() {
+    public void peerRestoresAgesAfterClockChange() {
         WeightsView weights = new WeightsView(BOUND);
-        weights.name("m", 2, 10_000);
+        weights.recordPublished("m", 2, 10_000);
         WeightsView other = new WeightsView(BOUND);
-        other.name("m", 2, 10_000);
-        weights.doubt(60_000);
+        other.recordPublished("m", 2, 10_000);
+        weights.addSuspendedTime(60_000);
         assertTrue(weights.usableMillis("m", 1, 12_000) <= 0);
-        other.ages(12_000).forEach(age -> weights.told(age, 12_000));
+        other.publicationAges(12_000).forEach(age -> weights.recordFromPeer(age, 12_000));
         assertEquals(weights.usableMillis("m", 1, 12_000), other.usableMillis("m", 1, 12_000));
     }
 }
--- a/gateway/src/test/java/org/hornbeamhead/gateway/state/WeightsListenerTest.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/state/WeightsListenerTest.java
@@ -22,26 +22,26 @@
     private WeightsView weights;
 
     @BeforeMethod
-    public void listen() {
+    public void setUp() {
         clock = new ManualClock(1_000_000);
         mirror = new StoreMirror();
         state = new RoutingState();
         weights = new WeightsView(BOUND);
         WeightsListener listener = new WeightsListener(clock, mirror, state, weights);
-        mirror.listen(i -> listener.named("m", Long.parseLong(i.value()), i.revision()));
+        mirror.addListener(i -> listener.versionPublished("m", Long.parseLong(i.value()), i.revision()));
     }
 
     /** One answered read of the store, as the follower takes it in. */
-    private void read(StoreChanges changes) {
+    private void applyRead(StoreChanges changes) {
         mirror.apply(changes);
-        state.proven(clock.monotonicMillis());
+        state.markCompleteUpTo(clock.monotonicMillis());
     }
 
-    private static StoreChanges names(long version, long revision) {
+    private static StoreChanges publication(long version, long revision) {
         return new StoreChanges(List.of(new StoreItem(KEY, revision, Long.toString(version), false)), revision, false);
     }
 
-    private static StoreChanges nothing(long revision) {
+    private static StoreChanges noChanges(long revision) {
         return new StoreChanges(List.of(), revision, false);
     }
 
@@ -57,13 +57,13 @@
      * missing, so nothing may begin later than the bound after that one.
      */
     @Test(dataProvider = "pauses")
-    public void theBoundRunsFromTheLastReadingWithoutTheName(long pauseMillis) {
-        read(names(2, 10));
+    public void boundStartsAtLastReadWithoutTheVersion(long pauseMillis) {
+        applyRead(publication(2, 10));
         clock.advance(30_000);
-        read(nothing(20));
+        applyRead(noChanges(20));
         long acknowledged = clock.monotonicMillis() + 1;
         clock.advance(pauseMillis);
-        read(names(3, 21));
+        applyRead(publication(3, 21));
         clock.advance(acknowledged + BOUND - clock.monotonicMillis());
         assertTrue(
                 weights.usableMillis("m", 2, clock.monotonicMillis()) <= 0,
@@ -76,13 +76,13 @@
      * version 3 was named nobody can tell any more: it may have been just after the first reading.
      */
     @Test
-    public void aNameThatWasNeverSeenProlongsNothing() {
-        read(names(2, 10));
+    public void skippedVersionDoesNotExtendTheBound() {
+        applyRead(publication(2, 10));
         clock.advance(30_000);
-        read(nothing(20));
+        applyRead(noChanges(20));
         long seen = clock.monotonicMillis();
         clock.advance(2_500);
-        read(new StoreChanges(List.of(new StoreItem(KEY, 25, "4", false)), 30, true));
+        applyRead(new StoreChanges(List.of(new StoreItem(KEY, 25, "4", false)), 30, true));
         assertTrue(weights.usableMillis("m", 2, seen + BOUND) <= 0);
         assertTrue(weights.usableMillis("m", 3, seen + BOUND) <= 0);
     }
@@ -92,15 +92,15 @@
      * when that was named: only a moment is left of older weights, and another router's word takes the place of it.
      */
     @Test
-    public void theFirstReadingIsNoSightOfTheNaming() {
+    public void firstReadOnlyEstimatesPublicationTime() {
         clock.advance(7_000);
-        read(names(2, 10));
+        applyRead(publication(2, 10));
         long now = clock.monotonicMillis();
         assertTrue(weights.usableMillis("m", 1, now) <= 1_500);
-        assertTrue(weights.isUncertain());
-        weights.told(new NamedAge("m", 2, 5_000, false), now);
+        assertTrue(weights.hasEstimates());
+        weights.recordFromPeer(new NamedAge("m", 2, 5_000, false), now);
         WeightsView saw = new WeightsView(BOUND);
-        saw.name("m", 2, now - 5_000);
+        saw.recordPublished("m", 2, now - 5_000);
         assertEquals(weights.usableMillis("m", 1, now), saw.usableMillis("m", 1, now));
     }
 }
--- a/gateway/src/test/java/org/hornbeamhead/gateway/state/WeightsViewTest.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/state/WeightsViewTest.java
@@ -15,14 +15,14 @@
      * than the bound after version 2, however often newer ones are named.
      */
     @Test
-    public void newerNamesDoNotProlongTheUseOfOldWeights() {
+    public void newerVersionsDoNotExtendUseOfOldWeights() {
         WeightsView view = new WeightsView(BOUND);
-        view.name("m", 1, 0);
+        view.recordPublished("m", 1, 0);
         assertEquals(view.usableMillis("m", 1, 1_000), Long.MAX_VALUE);
-        view.name("m", 2, 10_000);
-        view.name("m", 3, 12_000);
-        view.name("m", 4, 14_000);
-        assertEquals(view.named("m"), 4);
+        view.recordPublished("m", 2, 10_000);
+        view.recordPublished("m", 3, 12_000);
+        view.recordPublished("m", 4, 14_000);
+        assertEquals(view.latestVersion("m"), 4);
         assertTrue(view.usableMillis("m", 1, 10_000) < BOUND);
         assertTrue(view.usableMillis("m", 1, 16_000) <= 0);
         assertTrue(view.usableMillis("m", 2, 16_000) > 0);
@@ -34,14 +34,14 @@
      * count the bound from its own start: it takes another router's word, and without one leaves only a moment.
      */
     @Test
-    public void aRestartDoesNotProlongTheUseOfOldWeights() {
+    public void restartDoesNotExtendUseOfOldWeights() {
         WeightsView old = new WeightsView(BOUND);
-        old.name("m", 3, 10_000);
-        old.name("m", 4, 13_000);
+        old.recordPublished("m", 3, 10_000);
+        old.recordPublished("m", 4, 13_000);
         WeightsView restarted = new WeightsView(BOUND);
-        restarted.found("m", 4, 15_000);
+        restarted.recordFound("m", 4, 15_000);
         assertTrue(restarted.usableMillis("m", 2, 15_000) <= 1_500);
-        tell(old, restarted, 15_000);
+        exchange(old, restarted, 15_000);
         assertEquals(restarted.usableMillis("m", 2, 15_000), old.usableMillis("m", 2, 15_000));
         assertEquals(restarted.usableMillis("m", 3, 15_000), old.usableMillis("m", 3, 15_000));
     }
@@ -52,29 +52,29 @@
      * go on with version 2 for as long as the bound after version 4.
      */
     @Test
-    public void whatNobodySawIsNotProlongedByWhatWasSeenLater() {
+    public void unobservedPublicationIsNotExtendedByLaterOnes() {
         WeightsView early = new WeightsView(BOUND);
-        early.found("m", 3, 9_000);
-        early.name("m", 4, 10_800);
+        early.recordFound("m", 3, 9_000);
+        early.recordPublished("m", 4, 10_800);
         WeightsView late = new WeightsView(BOUND);
-        late.found("m", 4, 12_000);
-        tell(early, late, 12_200);
+        late.recordFound("m", 4, 12_000);
+        exchange(early, late, 12_200);
         assertTrue(late.usableMillis("m", 2, 13_500) <= 0, "left: " + late.usableMillis("m", 2, 13_500));
         assertEquals(late.usableMillis("m", 3, 13_500), early.usableMillis("m", 3, 13_500));
     }
 
     /** Of two routers that saw a name, the one that had looked for it in vain later knows better how old it can be. */
     @Test
-    public void theLaterReadingWithoutTheNameIsTheBetterBound() {
+    public void latestReadWithoutTheVersionIsUsed() {
         WeightsView one = new WeightsView(BOUND);
-        one.name("m", 2, 10_000);
+        one.recordPublished("m", 2, 10_000);
         WeightsView other = new WeightsView(BOUND);
-        other.name("m", 2, 10_600);
-        tell(other, one, 11_000);
-        tell(one, other, 11_000);
+        other.recordPublished("m", 2, 10_600);
+        exchange(other, one, 11_000);
+        exchange(one, other, 11_000);
         assertEquals(one.usableMillis("m", 1, 11_000), other.usableMillis("m", 1, 11_000));
         WeightsView alone = new WeightsView(BOUND);
-        alone.name("m", 2, 10_600);
+        alone.recordPublished("m", 2, 10_600);
         assertEquals(one.usableMillis("m", 1, 11_000), alone.usableMillis("m", 1, 11_000));
     }
 
@@ -83,43 +83,43 @@
      * that is younger. It must not allow more than what is known.
      */
     @Test
-    public void aGuessInBetweenAllowsNoMoreThanWhatIsKnown() {
+    public void estimateOfSkippedVersionDoesNotExtendUse() {
         WeightsView view = new WeightsView(BOUND);
-        view.name("m", 3, 2_000);
+        view.recordPublished("m", 3, 2_000);
         long left = view.usableMillis("m", 1, 9_000);
-        view.told(new NamedAge("m", 2, 1_000, true), 9_000);
+        view.recordFromPeer(new NamedAge("m", 2, 1_000, true), 9_000);
         assertEquals(view.usableMillis("m", 1, 9_000), left);
     }
 
-    private static void tell(WeightsView from, WeightsView to, long nowMillis) {
-        from.ages(nowMillis).forEach(age -> to.told(age, nowMillis));
+    private static void exchange(WeightsView from, WeightsView to, long nowMillis) {
+        from.publicationAges(nowMillis).forEach(age -> to.recordFromPeer(age, nowMillis));
     }
 
     @Test
-    public void newWeightsSettleAfterSomeSeconds() {
+    public void newVersionSettlesAfterDelay() {
         WeightsView view = new WeightsView(BOUND);
-        assertTrue(view.settled("m", 1, 10_000));
-        view.name("m", 2, 10_000);
-        assertFalse(view.settled("m", 2, 12_000));
-        assertTrue(view.settled("m", 2, 20_000));
-        assertTrue(view.settled("m", 1, 12_000));
+        assertTrue(view.isSettled("m", 1, 10_000));
+        view.recordPublished("m", 2, 10_000);
+        assertFalse(view.isSettled("m", 2, 12_000));
+        assertTrue(view.isSettled("m", 2, 20_000));
+        assertTrue(view.isSettled("m", 1, 12_000));
     }
 
     @Test
-    public void oldWeightsAreFineForAMoment() {
+    public void oldWeightsArePenalizedAfterDelay() {
         WeightsView view = new WeightsView(BOUND);
-        view.name("m", 2, 10_000);
-        assertFalse(view.penalized("m", 1, 11_000));
-        assertTrue(view.penalized("m", 1, 12_000));
-        assertFalse(view.penalized("m", 2, 12_000));
+        view.recordPublished("m", 2, 10_000);
+        assertFalse(view.isPenalized("m", 1, 11_000));
+        assertTrue(view.isPenalized("m", 1, 12_000));
+        assertFalse(view.isPenalized("m", 2, 12_000));
     }
 
     /** The router that changes weights was killed. Its last notice must not keep a replica out of use for good. */
     @Test
-    public void aNoticeRunsOut() {
+    public void avoidNoticeExpires() {
         WeightsView view = new WeightsView(BOUND);
-        view.steerAway(Set.of("r"), 1_000);
-        assertTrue(view.steered("r", 2_000));
-        assertFalse(view.steered("r", 5_000));
+        view.avoid(Set.of("r"), 1_000);
+        assertTrue(view.isAvoided("r", 2_000));
+        assertFalse(view.isAvoided("r", 5_000));
     }
 }
