--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/HistoryLostException.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/HistoryLostException.java
@@ -1,11 +1,11 @@
 package org.hornbeamhead.gateway.state;
 
-/** The store no longer knows the changes that were asked for: everything must be read again. */
+/** Thrown when the store no longer holds the requested changes, so that a snapshot must be read. */
 public final class HistoryLostException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** Makes the exception. */
+    /** Creates the exception. */
     public HistoryLostException() {
-        super("the store's history does not reach back so far");
+        super("the store no longer holds the changes after the requested revision");
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/HttpMirrorClient.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/HttpMirrorClient.java
@@ -7,11 +7,13 @@
 import org.hornbeamhead.daemon.HttpCaller;
 import org.hornbeamhead.daemon.HttpReply;
 
-/** Asks other routers for what they know of the store. */
+/** Fetches changes from the mirrors of other routers over HTTP. */
 public final class HttpMirrorClient implements MirrorClient {
-    /** What an answer takes on its way and in a busy process; a reader that needs longer is as good as lost. */
+    /**
+     * Time allowed for the transfer of an answer and for a busy process to send it; a slower reader counts as failed.
+     */
     private static final Duration READER_TIMEOUT = Duration.ofMillis(300);
-    /** Whoever is asked for want of a better source may be slow. */
+    /** Peers are queried only when no better source is available, so they may take longer. */
     private static final Duration PEER_TIMEOUT = Duration.ofMillis(700);
 
     private final HttpCaller caller;
@@ -23,20 +25,20 @@
     }
 
     /**
-     * Makes calls to the same few readers, over kept connections.
+     * Creates a client for repeated requests to the same few readers, which keeps connections open.
      *
-     * @param reactor the thread's reactor
-     * @return the calls
+     * @param reactor the reactor of this thread
+     * @return the client
      */
     public static HttpMirrorClient forReaders(NioReactor reactor) {
         return new HttpMirrorClient(HttpCaller.keepingAlive(reactor), READER_TIMEOUT);
     }
 
     /**
-     * Makes calls to any router.
+     * Creates a client for requests to any router, which opens a connection for each request.
      *
-     * @param reactor the thread's reactor
-     * @return the calls
+     * @param reactor the reactor of this thread
+     * @return the client
      */
     public static HttpMirrorClient forPeers(NioReactor reactor) {
         return new HttpMirrorClient(HttpCaller.connectingAnew(reactor), PEER_TIMEOUT);
@@ -51,7 +53,7 @@
     private static Promise<MirrorAnswer> decode(HttpReply reply) {
         return reply.isOk()
                 ? MirrorAnswer.decode(reply.body())
-                        .fold(why -> Promise.ofException(new StoreUnavailableException(why)), Promise::of)
+                        .fold(error -> Promise.ofException(new StoreUnavailableException(error)), Promise::of)
                 : Promise.ofException(new StoreUnavailableException("the router answered " + reply.status()));
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/MirrorAnswer.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/MirrorAnswer.java
@@ -11,16 +11,16 @@
 import org.hornbeamhead.daemon.Json;
 
 /**
- * What one router tells another of its view of the store. All times are spans up to the moment of the answer, since two
- * machines' clocks cannot be compared.
+ * The answer of a router to a request for its mirror of the store. All times are relative to the creation of the
+ * answer, because the clocks of two machines cannot be compared.
  *
- * @param changes what changed after the revision that was asked for
- * @param ageMillis how long ago the view was surely the newest, in milliseconds
- * @param provenMillisAgo how long ago the time lies up to which the view misses nothing, in milliseconds
- * @param waitedMillis how long the question lay at the router that answers, in milliseconds
- * @param relistMillis how long removals may still turn out to be the work of an outage, in milliseconds
- * @param readsStore whether the store itself answers that router
- * @param named when versions of weights were named
+ * @param changes the changes after the requested revision
+ * @param ageMillis how long ago the view was confirmed to be the latest, in milliseconds
+ * @param provenMillisAgo the age of the time up to which the view is complete, in milliseconds
+ * @param waitedMillis how long the request waited at the answering router, in milliseconds
+ * @param relistMillis how long removed entries may still be listed again after an outage, in milliseconds
+ * @param readsStore whether the store itself answers the answering router
+ * @param named the ages of the published versions of weights
  */
 public record MirrorAnswer(
         StoreChanges changes,
@@ -30,15 +30,15 @@
         long relistMillis,
         boolean readsStore,
         List<NamedAge> named) {
-    /** A view whose age another router does not tell is as old as this, in milliseconds: it proves nothing. */
+    /** Age in milliseconds of a view whose age is missing from the answer: it is treated as never confirmed. */
     private static final long UNKNOWN_MILLIS = Long.MAX_VALUE / 4;
 
-    /** Copies the names, so that the answer cannot change. */
+    /** Makes an immutable copy of the ages. */
     public MirrorAnswer {
         named = List.copyOf(named);
     }
 
-    /** Writes the answer as JSON. */
+    /** Returns the answer as JSON. */
     ObjectNode encode() {
         ObjectNode tree = Json.object();
         tree.put("revision", changes.revision());
@@ -48,8 +48,8 @@
         tree.put("waitedMillis", waitedMillis);
         tree.put("relistMillis", relistMillis);
         tree.put("readsStore", readsStore);
-        ArrayNode names = tree.putArray("named");
-        named.forEach(a -> names.addObject()
+        ArrayNode ages = tree.putArray("named");
+        named.forEach(a -> ages.addObject()
                 .put("model", a.model())
                 .put("version", a.version())
                 .put("millisAgo", a.millisAgo())
@@ -64,10 +64,10 @@
     }
 
     /**
-     * Reads an answer.
+     * Parses an answer.
      *
      * @param text the JSON text
-     * @return the answer, or what is wrong with it
+     * @return the answer, or a description of the parse error
      */
     static Either<String, MirrorAnswer> decode(String text) {
         return Json.parse(text).map(MirrorAnswer::decode);
@@ -81,7 +81,7 @@
                 Math.max(0, tree.path("waitedMillis").asLong()),
                 tree.path("relistMillis").asLong(),
                 tree.path("readsStore").asBoolean(),
-                names(tree.path("named")));
+                namedAges(tree.path("named")));
     }
 
     private static StoreChanges changes(JsonNode tree) {
@@ -96,13 +96,13 @@
                 items, tree.path("revision").asLong(), tree.path("whole").asBoolean());
     }
 
-    private static List<NamedAge> names(JsonNode list) {
-        List<NamedAge> named = new ArrayList<>();
-        list.forEach(n -> named.add(new NamedAge(
+    private static List<NamedAge> namedAges(JsonNode list) {
+        List<NamedAge> ages = new ArrayList<>();
+        list.forEach(n -> ages.add(new NamedAge(
                 n.path("model").asText(),
                 n.path("version").asLong(),
                 n.path("millisAgo").asLong(),
                 n.path("guessed").asBoolean())));
-        return named;
+        return ages;
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/MirrorClient.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/MirrorClient.java
@@ -3,16 +3,16 @@
 import io.activej.promise.Promise;
 import java.time.Duration;
 
-/** Asks another router for what it knows of the store. */
+/** Fetches the changes of the store that another router knows. */
 @FunctionalInterface
 public interface MirrorClient {
     /**
-     * Asks.
+     * Fetches the changes after a revision.
      *
-     * @param peer the other router's address
-     * @param after the revision that is known here
-     * @param wait how long it may wait for the first change
-     * @return its answer; fails when none comes soon after the wait
+     * @param peer the address of the other router
+     * @param after the last revision known to this router
+     * @param wait how long the other router may wait for the first change
+     * @return the answer; fails if none arrives soon after the wait
      */
     Promise<MirrorAnswer> fetch(String peer, long after, Duration wait);
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/MirrorServer.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/MirrorServer.java
@@ -9,19 +9,19 @@
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
+import org.hornbeamhead.core.mirror.ChangeFeed;
 import org.hornbeamhead.core.mirror.StoreItem;
 import org.hornbeamhead.core.mirror.StoreMirror;
-import org.hornbeamhead.core.mirror.ChangeFeed;
 import org.hornbeamhead.core.time.Clock;
 import org.hornbeamhead.core.time.Timers;
 import org.hornbeamhead.daemon.HttpAnswers;
 
-/** Tells other routers what this one knows of the store, at once or as soon as there is something new. */
+/** Serves the mirror of the store to other routers, at once or as soon as there are changes. */
 public final class MirrorServer {
-    /** The path at which routers read one another's mirrors. */
+    /** The path at which routers fetch the mirrors of others. */
     public static final String PATH = "/v1/mirror";
 
-    /** A longer wait would find a lost reader late; whoever asks for more is answered sooner. */
+    /** Maximum wait of a request. A longer wait would delay the detection of a failed reader. */
     private static final long MAX_WAIT_MILLIS = 2_000;
 
     private final Timers timers;
@@ -36,29 +36,29 @@
     private final Set<PendingQuery> pending = new LinkedHashSet<>();
     private boolean answerScheduled;
 
-    /** A question of another router; each is a thing of its own, also among like ones. */
+    /** A request of another router that waits for changes. Requests are compared by identity. */
     private static final class PendingQuery {
         private final long after;
         private final long receivedAtMillis;
         private final SettablePromise<MirrorAnswer> answer = new SettablePromise<>();
 
-        PendingQuery(long after, long since) {
+        PendingQuery(long after, long receivedAtMillis) {
             this.after = after;
-            this.receivedAtMillis = since;
+            this.receivedAtMillis = receivedAtMillis;
         }
     }
 
     /**
-     * Makes a server that nobody asks yet.
+     * Creates a server without requests.
      *
-     * @param timers the thread's timers
+     * @param timers the timers of this thread
      * @param clock the clock
-     * @param mirror what is known
-     * @param state tells how old that is
-     * @param weights tells when versions were named
-     * @param suspensions looked at before a time is told
+     * @param mirror the mirror to serve
+     * @param state the routing state, which knows how recent the mirror is
+     * @param weights the view of weights, which knows when versions were published
+     * @param suspensionDetector checked before a time is reported
      * @param readsStore whether the store itself answers this router
-     * @param relistMillis how long removals may still turn out to be the work of an outage, in milliseconds
+     * @param relistMillis how long removed entries may still be listed again after an outage, in milliseconds
      */
     public MirrorServer(
             Timers timers,
@@ -66,7 +66,7 @@
             StoreMirror mirror,
             RoutingState state,
             WeightsView weights,
-            SuspensionDetector suspensions,
+            SuspensionDetector suspensionDetector,
             BooleanSupplier readsStore,
             LongSupplier relistMillis) {
         this.timers = timers;
@@ -75,14 +75,14 @@
         this.feed = new ChangeFeed(mirror);
         this.state = state;
         this.weights = weights;
-        this.suspensionDetector = suspensions;
+        this.suspensionDetector = suspensionDetector;
         this.readsStore = readsStore;
         this.relistMillis = relistMillis;
     }
 
     /**
-     * Notes a change of the mirror that others have to hear of. They hear of all changes of one answer of the store
-     * together.
+     * Records a change of the mirror that must be reported to other routers. All changes of one answer of the store are
+     * reported together.
      *
      * @param item the changed item
      */
@@ -99,25 +99,25 @@
         List.copyOf(pending).stream().filter(q -> feed.hasChangesAfter(q.after)).forEach(this::complete);
     }
 
-    private void complete(PendingQuery question) {
-        if (pending.remove(question)) {
-            question.answer.trySet(handle(question));
+    private void complete(PendingQuery query) {
+        if (pending.remove(query)) {
+            query.answer.trySet(createAnswer(query));
         }
     }
 
     /**
-     * Answers another router.
+     * Handles the request of another router.
      *
-     * @param request asks for the changes after a revision, and says how long it would wait for the first one
-     * @return the changes, and how old they may be
+     * @param request the request for the changes after a revision, with the time to wait for the first change
+     * @return the response with the changes and their maximum age
      */
     public Promise<HttpResponse> handle(HttpRequest request) {
         long after;
         long wait;
         try {
             after = Long.parseLong(String.valueOf(request.getQueryParameter("after")));
-            String asked = request.getQueryParameter("wait");
-            wait = asked == null ? 0 : Long.parseLong(asked);
+            String waitText = request.getQueryParameter("wait");
+            wait = waitText == null ? 0 : Long.parseLong(waitText);
         } catch (NumberFormatException e) {
             return HttpAnswers.text(400, "text/plain", "'after' is no revision, or 'wait' no milliseconds\n");
         }
@@ -128,23 +128,23 @@
     }
 
     Promise<MirrorAnswer> query(long after, long waitMillis) {
-        PendingQuery question = new PendingQuery(after, clock.monotonicMillis());
+        PendingQuery query = new PendingQuery(after, clock.monotonicMillis());
         if (waitMillis <= 0 || feed.hasChangesAfter(after) || !readsStore.getAsBoolean()) {
-            return Promise.of(handle(question));
+            return Promise.of(createAnswer(query));
         }
-        pending.add(question);
-        timers.schedule(Math.min(MAX_WAIT_MILLIS, waitMillis), () -> complete(question));
-        return question.answer;
+        pending.add(query);
+        timers.schedule(Math.min(MAX_WAIT_MILLIS, waitMillis), () -> complete(query));
+        return query.answer;
     }
 
-    private MirrorAnswer handle(PendingQuery question) {
+    private MirrorAnswer createAnswer(PendingQuery query) {
         suspensionDetector.check();
         long now = clock.monotonicMillis();
         return new MirrorAnswer(
-                feed.changesSince(question.after),
+                feed.changesSince(query.after),
                 now - state.confirmedAt(),
                 now - state.completeUpTo(),
-                now - question.receivedAtMillis,
+                now - query.receivedAtMillis,
                 relistMillis.getAsLong(),
                 readsStore.getAsBoolean(),
                 weights.publicationAges(now));
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/MirrorUpdater.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/MirrorUpdater.java
@@ -4,11 +4,11 @@
 import org.hornbeamhead.core.time.Clock;
 
 /**
- * Takes over what another router tells of the store.
+ * Applies the answers of other routers to the mirror and to the view of this router.
  *
- * <p>The answer was made after its question was sent and had waited. Times that the other router tells are counted from
- * there, which is never too late: what the question and the answer take on their way only makes the view look older. A
- * bound that runs from such a time allows no more than one that runs from the store's own word.
+ * <p>The other router created the answer after the request was sent and had waited. The times that it reports are
+ * counted from that point, which is never too late: the transfer of the request and of the answer only makes the view
+ * look older. A bound that starts at such a time allows no more than one that starts at a time observed from the store.
  */
 final class MirrorUpdater {
     private final Clock clock;
@@ -18,20 +18,25 @@
     private final SuspensionDetector suspensionDetector;
 
     MirrorUpdater(
-            Clock clock, StoreMirror mirror, RoutingState state, WeightsView weights, SuspensionDetector suspensions) {
+            Clock clock,
+            StoreMirror mirror,
+            RoutingState state,
+            WeightsView weights,
+            SuspensionDetector suspensionDetector) {
         this.clock = clock;
         this.mirror = mirror;
         this.state = state;
         this.weights = weights;
-        this.suspensionDetector = suspensions;
+        this.suspensionDetector = suspensionDetector;
     }
 
     /**
-     * Takes over an answer.
+     * Applies an answer.
      *
      * @param answer the answer
-     * @param sentMillis the monotonic time at which its question was sent
-     * @return whether its times could be counted; false when the machine may have stood still meanwhile
+     * @param sentMillis the monotonic time at which the request was sent
+     * @return whether the reported times were recorded; false if the machine may have been suspended since the request
+     *     was sent
      */
     boolean apply(MirrorAnswer answer, long sentMillis) {
         suspensionDetector.check();
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/PeerDatagrams.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/PeerDatagrams.java
@@ -15,10 +15,12 @@
 import java.util.function.BiConsumer;
 import org.hornbeamhead.core.settings.Addresses;
 
-/** The socket at which routers tell one another what may be lost. Each kind of datagram has a first byte of its own. */
+/**
+ * The socket for datagrams between routers, which may be lost. Each kind of datagram is identified by its first byte.
+ */
 public final class PeerDatagrams {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    /** After a failed receive; one line of the log a second at most. */
+    /** Delay after a failed receive, which limits the log to one line a second. */
     private static final long RECEIVE_RETRY_MILLIS = 1_000;
 
     private final NioReactor reactor;
@@ -27,18 +29,19 @@
     private SocketAddress boundAddress;
 
     /**
-     * Makes a socket that is not open yet.
+     * Creates a socket that is not open yet.
      *
-     * @param reactor the thread's reactor
+     * @param reactor the reactor of this thread
      */
     public PeerDatagrams(NioReactor reactor) {
         this.reactor = reactor;
     }
 
     /**
-     * Hands on what comes.
+     * Adds a listener for received datagrams.
      *
-     * @param listener takes the sender's address and the bytes of each datagram, and passes over what is not its own
+     * @param listener receives the address of the sender and the bytes of each datagram, and must ignore datagrams of
+     *     other kinds
      */
     public void addListener(BiConsumer<String, byte[]> listener) {
         listeners.add(listener);
@@ -47,8 +50,8 @@
     /**
      * Opens the socket.
      *
-     * @param address where to listen
-     * @throws IOException when the address cannot be bound
+     * @param address the address to listen on
+     * @throws IOException if the address cannot be bound
      */
     public void start(InetSocketAddress address) throws IOException {
         DatagramChannel channel = DatagramChannel.open();
@@ -59,7 +62,7 @@
         receive();
     }
 
-    /** Where it listens. */
+    /** Returns the address that the socket is bound to. */
     SocketAddress address() {
         return boundAddress;
     }
@@ -77,7 +80,7 @@
     private void receive() {
         socket.receive().subscribe((packet, e) -> {
             if (e != null) {
-                logger.atWarning().withCause(e).log("a datagram could not be received");
+                logger.atWarning().withCause(e).log("receiving a datagram failed");
                 reactor.delayBackground(RECEIVE_RETRY_MILLIS, this::receive);
                 return;
             }
@@ -88,10 +91,13 @@
         });
     }
 
-    /** A listener that fails must not keep the router from hearing the next datagram. */
+    /**
+     * Passes a datagram to a listener. A failure of the listener must not prevent the router from receiving later
+     * datagrams.
+     */
     private static void dispatch(BiConsumer<String, byte[]> listener, String from, byte[] bytes) {
         Try.run(() -> listener.accept(from, bytes))
                 .onFailure(e -> logger.atSevere().withCause(e).log(
-                        "a datagram of %s cannot be taken over and is passed over", from));
+                        "ignoring a datagram from %s that could not be processed", from));
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/PeerMirrorPoller.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/PeerMirrorPoller.java
@@ -13,20 +13,23 @@
 import org.hornbeamhead.daemon.Logs;
 
 /**
- * Asks any other router what it knows, at a start and while nobody else tells.
+ * Fetches changes from the mirror of any other router, at the start and while no other source answers.
  *
- * <p>Failure: the store turns this router away and serves the others, or a router starts and knows nothing of earlier
- * times. Symptom: this router goes on with a key that was taken away, or sends to a replica that left. It reads the
- * mirror of another one, a randomly chosen one until it finds one that the store answers; revisions decide what is
- * newer, whoever tells it.
+ * <p>The store may refuse this router while it serves others, or this router may have just started and lack the history
+ * of publication times. It would then keep using a removed key, or send requests to a replica that has left. It
+ * therefore polls the mirrors of randomly chosen routers, and keeps to one that the store answers. Revisions decide
+ * which state is newer, whatever its source.
  */
 public final class PeerMirrorPoller {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-    /** How often a router that the store does not answer asks others; a quarter of the bound, and 1 KB/s. */
+    /** Polling interval of a router that the store does not answer: a quarter of the bound, and 1 KB/s. */
     private static final long POLL_INTERVAL_MILLIS = 200;
 
-    /** Routers that are asked at a start; when all were restarted together, none knows more than the store. */
+    /**
+     * Number of answers to collect at the start. If all routers were restarted together, none knows more than the
+     * store.
+     */
     private static final int MAX_BOOTSTRAP_ANSWERS = 5;
 
     private final Timers timers;
@@ -43,45 +46,48 @@
     private int bootstrapAnswers;
 
     /**
-     * Makes a reader that does not read yet.
+     * Creates a poller that is not started yet.
      *
-     * @param timers the thread's timers
+     * @param timers the timers of this thread
      * @param clock the clock
      * @param random the source of randomness
-     * @param calls asks other routers
-     * @param mirror the mirror to keep up
-     * @param intake takes over what others tell
-     * @param weights whose names may be uncertain
-     * @param behind whether nobody else tells this router what is new
-     * @param peers the addresses at which other routers may be asked
+     * @param client fetches changes from other routers
+     * @param mirror the mirror to update
+     * @param updater applies the answers of other routers
+     * @param weights the view of weights, which may have estimated publication times
+     * @param isBehind whether this router receives no changes from other sources
+     * @param peers supplies the addresses of other routers
      */
     PeerMirrorPoller(
             Timers timers,
             Clock clock,
             RandomGenerator random,
-            MirrorClient calls,
+            MirrorClient client,
             StoreMirror mirror,
-            MirrorUpdater intake,
+            MirrorUpdater updater,
             WeightsView weights,
-            BooleanSupplier behind,
+            BooleanSupplier isBehind,
             Supplier<List<String>> peers) {
         this.timers = timers;
         this.clock = clock;
         this.random = random;
-        this.client = calls;
+        this.client = client;
         this.mirror = mirror;
-        this.updater = intake;
+        this.updater = updater;
         this.weights = weights;
-        this.isBehind = behind;
+        this.isBehind = isBehind;
         this.peers = peers;
     }
 
-    /** Reads from other routers, which know what the store does not tell, and then whenever nobody else answers. */
+    /** Starts polling: until the initial answers have been collected, and whenever no other source answers. */
     public void start() {
         timers.schedule(POLL_INTERVAL_MILLIS, this::poll);
     }
 
-    /** Asks other routers again, as after a start: what this one knew of times is in doubt. */
+    /**
+     * Collects initial answers again, as after a start, because the publication times known to this router are
+     * unreliable.
+     */
     public void restartBootstrap() {
         bootstrapped = false;
         bootstrapAnswers = 0;
@@ -100,15 +106,16 @@
             if (e == null) {
                 handleAnswer(peer, answer, sent);
             } else {
-                logger.atFine().withCause(e).log("router %s told nothing", peer);
+                logger.atFine().withCause(e).log("mirror query to router %s failed", peer);
             }
             start();
         });
     }
 
-    /** At a start several tell more than one; while nobody else answers, the one that the store answers knows best. */
+    /** Selects a random peer during the start, to query several; later keeps to the peer that the store answers. */
     private String selectPeer(List<String> addresses) {
-        return currentPeer.filter(p -> bootstrapped && addresses.contains(p))
+        return currentPeer
+                .filter(p -> bootstrapped && addresses.contains(p))
                 .orElseGet(() -> addresses.get(random.nextInt(addresses.size())));
     }
 
@@ -120,12 +127,12 @@
         bootstrapped = !weights.hasEstimates() || bootstrapAnswers >= MAX_BOOTSTRAP_ANSWERS;
     }
 
-    private static void log(String peer, List<NamedAge> named) {
-        if (!named.isEmpty()) {
+    private static void log(String peer, List<NamedAge> ages) {
+        if (!ages.isEmpty()) {
             logger.atInfo()
                     .with(Logs.DECISION, "weights told")
-                    .with(Logs.INPUTS, named.toString())
-                    .log("router %s tells when weights were named", peer);
+                    .with(Logs.INPUTS, ages.toString())
+                    .log("router %s reported when weights versions were published", peer);
         }
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/PlatformStore.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/PlatformStore.java
@@ -8,24 +8,24 @@
 import org.hornbeamhead.core.mirror.StoreItem;
 
 /**
- * The platform's store. A call fails with {@link StoreUnavailableException} when it surely had no effect or its effect
- * does not matter, and a write that may have taken effect answers {@link WriteReply.InDoubt}.
+ * The platform's store. A call fails with {@link StoreUnavailableException} if it had no effect or its effect is
+ * irrelevant. A write that may have taken effect returns {@link WriteReply.InDoubt}.
  */
 public interface PlatformStore {
     /**
-     * Reads everything, as of the newest state.
+     * Reads a snapshot of the latest state.
      *
-     * @return the items, and the revision from which changes must be watched
+     * @return all items, and the revision after which changes must be watched
      */
     Promise<StoreChanges> readAll();
 
     /**
      * Waits for changes.
      *
-     * @param after the revision up to which the caller knows everything
+     * @param after the revision up to which the caller has all changes
      * @param wait how long the store may wait for the first change
-     * @return the changes; none after the wait. Fails with {@link HistoryLostException} when the store no longer knows
-     *     them
+     * @return the changes; none if the wait ended without a change. Fails with {@link HistoryLostException} if the
+     *     store no longer holds the changes
      */
     Promise<StoreChanges> watch(long after, Duration wait);
 
@@ -33,60 +33,60 @@
      * Writes a key.
      *
      * @param key the key
-     * @param expected the revision that the key must have, 0 for an absent key; empty to write in any case
+     * @param expected the revision that the key must have, 0 if it must be absent; empty to write unconditionally
      * @param value the value
-     * @param lease the lease that the key lives with
-     * @return what became of it
+     * @param lease the lease to which the key is attached
+     * @return the result of the write
      */
     Promise<WriteReply> write(String key, OptionalLong expected, String value, Optional<String> lease);
 
     /**
      * Grants a lease.
      *
-     * @param ttl how long it lasts without renewal
-     * @return its id
+     * @param ttl how long the lease lasts without renewal
+     * @return the id of the lease
      */
     Promise<String> grant(Duration ttl);
 
     /**
      * Renews a lease.
      *
-     * @param lease its id
-     * @return whether it was still alive
+     * @param lease the id of the lease
+     * @return whether the lease had not expired
      */
     Promise<Boolean> renew(String lease);
 
     /**
-     * Ends a lease, which removes the keys that live with it.
+     * Revokes a lease, which removes the keys attached to it.
      *
-     * @param lease its id
+     * @param lease the id of the lease
      * @return completes when the store has answered
      */
     Promise<Void> revoke(String lease);
 
-    /** What became of a write. */
+    /** The result of a write. */
     sealed interface WriteReply {
         /**
-         * It was written.
+         * The key was written.
          *
-         * @param revision the key's new revision
+         * @param revision the new revision of the key
          */
         record Written(long revision) implements WriteReply {}
 
         /**
          * The key had another revision; nothing was written.
          *
-         * @param current the present item, empty when the key is absent
+         * @param current the current item, or empty if the key is absent
          */
         record Conflict(Optional<StoreItem> current) implements WriteReply {}
 
-        /** The lease has ended; nothing was written. */
+        /** The lease has expired; nothing was written. */
         record LeaseExpired() implements WriteReply {}
 
         /**
-         * It may have been written, or may be written later if its condition still holds.
+         * The key may have been written, or may be written later if its condition still holds.
          *
-         * @param why for the log
+         * @param reason the reason, for the log
          */
         record InDoubt(String reason) implements WriteReply {}
     }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/ReaderClient.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/ReaderClient.java
@@ -8,14 +8,14 @@
 import org.hornbeamhead.core.mirror.ReaderSelector;
 import org.hornbeamhead.core.time.Clock;
 
-/** The routers at which this one may wait for changes instead of reading the store, and how far they are trusted. */
+/** Fetches changes from the routers that read the store for others, and tracks which of them fail. */
 public final class ReaderClient {
     /**
-     * How long a question waits at a reader. Together with the limit on its answer this is how late a lost reader is
-     * noticed.
+     * How long a request waits at a reader. The failure of a reader is detected after this wait and the timeout of its
+     * answer.
      */
     private static final Duration WAIT = Duration.ofMillis(500);
-    /** A reader whose view was surely the newest this long ago is cut off from the store, in milliseconds. */
+    /** Age of a confirmed view, in milliseconds, from which its reader is considered disconnected from the store. */
     private static final long MAX_AGE_MILLIS = 2_000;
 
     private final Clock clock;
@@ -26,26 +26,26 @@
     private boolean lastFailed;
 
     /**
-     * Makes a view that has asked nobody.
+     * Creates a client that has sent no request yet.
      *
      * @param clock the clock
-     * @param readers the readers, the first choice first
-     * @param self this router's name
-     * @param asking asks them
+     * @param readers supplies the readers in order of preference
+     * @param self the name of this router
+     * @param client sends the requests
      */
-    ReaderClient(Clock clock, Supplier<List<RouterEntry>> readers, String self, MirrorClient asking) {
+    ReaderClient(Clock clock, Supplier<List<RouterEntry>> readers, String self, MirrorClient client) {
         this.clock = clock;
         this.readers = readers;
         this.self = self;
-        this.client = asking;
+        this.client = client;
     }
 
-    /** Whether this router reads the store for others. */
+    /** Returns whether this router reads the store for others. */
     boolean isSelfReader() {
         return readers.get().stream().anyMatch(r -> r.node().equals(self));
     }
 
-    /** Picks the reader to wait at; empty when the store itself is to be read. */
+    /** Selects the reader to wait for; empty if the store itself should be read. */
     Optional<String> select() {
         if (isSelfReader()) {
             return Optional.empty();
@@ -55,19 +55,20 @@
     }
 
     /**
-     * Asks a reader. One that failed lately has to answer at once before this router waits at it again, and so has the
-     * next one after a failure: this router has waited long enough already.
+     * Fetches changes from a reader. A reader that failed recently must first answer a request without a wait, and so
+     * must any reader directly after a failure, because this router has already been waiting for a timeout.
      *
-     * @param reader its address
-     * @param after the revision that is known here
-     * @return its answer; fails when none comes, or when it comes from a router that the store does not tell either
+     * @param reader the address of the reader
+     * @param after the last revision known to this router
+     * @return the answer; fails if none arrives, or if the reader itself is not up to date with the store
      */
     Promise<MirrorAnswer> fetch(String reader, long after) {
         Duration wait = lastFailed || selector.isFailing(reader) ? Duration.ZERO : WAIT;
         return client.fetch(reader, after, wait)
                 .then(answer -> isCurrent(answer)
                         ? Promise.of(answer)
-                        : Promise.ofException(new StoreUnavailableException("its view is old")))
+                        : Promise.ofException(
+                                new StoreUnavailableException("the reader's view of the store is out of date")))
                 .whenResult(() -> recordSuccess(reader))
                 .whenException(() -> recordFailure(reader));
     }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/RouterEntry.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/RouterEntry.java
@@ -5,15 +5,15 @@
 import org.hornbeamhead.daemon.Json;
 
 /**
- * A router as it lists itself in the store.
+ * The entry under which a router is listed in the store.
  *
- * @param node the machine's name
+ * @param node the name of the machine
  * @param caller the address for callers
  * @param peer the address for other routers
  * @param hints the address for hints between routers
- * @param dataCentre where it stands
- * @param capacity the requests a second that its host bears
- * @param startedWallMillis when its process started, in milliseconds of the wall clock since 1970
+ * @param dataCentre the data centre of the router
+ * @param capacity the number of requests a second that the host can handle
+ * @param startedWallMillis the start time of the process, in milliseconds of the wall clock since 1970
  */
 public record RouterEntry(
         String node,
@@ -23,16 +23,16 @@
         String dataCentre,
         double capacity,
         long startedWallMillis) {
-    /** The beginning of the keys of routers. */
+    /** The prefix of the keys of routers. */
     public static final String PREFIX = "hornbeam/routers/";
 
-    /** Checks that nothing is missing. */
+    /** Checks that no component is null. */
     public RouterEntry {
         Stream.of(node, caller, peer, hints, dataCentre).forEach(Objects::requireNonNull);
     }
 
     /**
-     * Gives the key under which the router is listed.
+     * Returns the key under which the router is listed.
      *
      * @return the key
      */
@@ -41,9 +41,9 @@
     }
 
     /**
-     * Writes the entry.
+     * Returns the entry as JSON.
      *
-     * @return the value
+     * @return the value to store
      */
     public String toJson() {
         return Json.write(this);
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/RouterList.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/RouterList.java
@@ -15,7 +15,7 @@
 import org.hornbeamhead.daemon.Json;
 import org.hornbeamhead.daemon.Logs;
 
-/** The routers that are listed. */
+/** The listed routers, including this one. */
 public final class RouterList {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
@@ -26,10 +26,10 @@
     private Optional<List<RouterEntry>> readers = Optional.empty();
 
     /**
-     * Makes a list of this router alone.
+     * Creates a list that contains only this router.
      *
      * @param self this router
-     * @param selfServes tells whether this router should be named to callers
+     * @param selfServes whether this router should be reported to callers
      * @param clock the clock
      */
     public RouterList(RouterEntry self, BooleanSupplier selfServes, Clock clock) {
@@ -39,9 +39,9 @@
     }
 
     /**
-     * Takes over a change of the store.
+     * Applies a change of the entry of a router.
      *
-     * @param item a router's key
+     * @param item the changed item, whose key is that of a router
      */
     public void update(StoreItem item) {
         String node = item.key().substring(RouterEntry.PREFIX.length());
@@ -53,43 +53,43 @@
             others.remove(node);
         } else {
             Json.read(item.value(), RouterEntry.class)
-                    .peekLeft(why -> logger.atWarning().log("router %s is left out: %s", node, why))
+                    .peekLeft(error -> logger.atWarning().log("ignoring malformed entry of router %s: %s", node, error))
                     .forEach(e -> others.put(node, e));
         }
         logger.atInfo()
                 .with(Logs.DECISION, item.removed() ? "router gone" : "router listed")
                 .with(Logs.INPUTS, "revision=" + item.revision() + " routers=" + (others.size() + 1))
-                .log("router %s", node);
+                .log("router list changed: %s", node);
     }
 
     /**
-     * Lists whom callers should use.
+     * Returns the addresses that callers should use.
      *
-     * @param limit the most addresses
-     * @param requestsPerSecond the requests that all routers get
-     * @return the addresses for callers; this router's own when no other is known
+     * @param limit the maximum number of addresses
+     * @param requestsPerSecond the rate of requests to all routers
+     * @return the addresses for callers; the own address if no other is known
      */
     public List<String> callerAddresses(int limit, double requestsPerSecond) {
-        List<EntrySpread.Candidate> known = new ArrayList<>();
-        others.values().forEach(e -> known.add(candidate(e)));
-        if (selfServes.getAsBoolean() || known.isEmpty()) {
-            known.add(candidate(self));
+        List<EntrySpread.Candidate> candidates = new ArrayList<>();
+        others.values().forEach(e -> candidates.add(candidate(e)));
+        if (selfServes.getAsBoolean() || candidates.isEmpty()) {
+            candidates.add(candidate(self));
         }
-        return EntrySpread.choose(known, requestsPerSecond).stream()
+        return EntrySpread.choose(candidates, requestsPerSecond).stream()
                 .distinct()
                 .limit(limit)
                 .toList();
     }
 
     private EntrySpread.Candidate candidate(RouterEntry e) {
-        long up = clock.wallMillis() - e.startedWallMillis();
-        return new EntrySpread.Candidate(e.caller(), e.dataCentre(), e.capacity(), up);
+        long uptimeMillis = clock.wallMillis() - e.startedWallMillis();
+        return new EntrySpread.Candidate(e.caller(), e.dataCentre(), e.capacity(), uptimeMillis);
     }
 
     /**
-     * Lists the routers that read the store for all others.
+     * Returns the routers that read the store for all others.
      *
-     * @return the readers in the order in which this router turns to them; this one may be among them
+     * @return the readers in the order of preference of this router, which may be one of them
      */
     public List<RouterEntry> readers() {
         if (readers.isEmpty()) {
@@ -108,10 +108,10 @@
     }
 
     /**
-     * Lists where other routers may be asked.
+     * Returns the addresses of the other routers for requests between routers.
      *
-     * @param seeds addresses known from the settings
-     * @return addresses without this router's own
+     * @param seeds the addresses from the settings
+     * @return the addresses without the own one
      */
     public List<String> peerAddresses(List<String> seeds) {
         return Stream.concat(others.values().stream().map(RouterEntry::peer), seeds.stream())
@@ -121,42 +121,42 @@
     }
 
     /**
-     * Lists where routers with work may be told what concerns their work.
+     * Returns the addresses of the routers with work, for messages that concern their work.
      *
-     * @param hintAddresses where they take hints, as heard lately
-     * @param seeds addresses known from the settings
-     * @return their addresses for other routers; those of all routers when nobody has been heard of
+     * @param hintAddresses the hint addresses from which hints were received recently
+     * @param seeds the addresses from the settings
+     * @return their addresses for requests between routers; those of all routers if none is known to have work
      */
     public List<String> peerAddressesForHints(List<String> hintAddresses, List<String> seeds) {
-        List<String> near = others.values().stream()
+        List<String> active = others.values().stream()
                 .filter(e -> hintAddresses.contains(e.hints()))
                 .map(RouterEntry::peer)
                 .toList();
-        return near.isEmpty() ? peerAddresses(seeds) : near;
+        return active.isEmpty() ? peerAddresses(seeds) : active;
     }
 
     /**
-     * Lists where other routers take hints.
+     * Returns the addresses at which other routers receive hints.
      *
-     * @return the addresses without this router's own
+     * @return the addresses without the own one
      */
     public List<String> hintAddresses() {
         return others.values().stream().map(RouterEntry::hints).toList();
     }
 
     /**
-     * Counts the routers.
+     * Returns the number of routers.
      *
-     * @return the listed ones and this one
+     * @return the number of listed routers, including this one
      */
     public int count() {
         return others.size() + 1;
     }
 
     /**
-     * Tells this router's place in the order of all routers' names.
+     * Returns the rank of this router in the order of the names of all routers.
      *
-     * @return the place, from 0
+     * @return the rank, starting at 0
      */
     public int rank() {
         return (int) others.keySet().stream()
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/RouterRegistration.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/RouterRegistration.java
@@ -8,15 +8,12 @@
 import java.util.OptionalLong;
 import org.hornbeamhead.daemon.Logs;
 
-/** Keeps this router listed under a lease while it serves. */
+/** Keeps this router registered in the store under a lease while it serves. */
 public final class RouterRegistration {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    /**
-     * A router that was killed leaves the list this long after; callers avoid an address that failed them by
-     * themselves.
-     */
+    /** A killed router stays listed for this long; callers avoid addresses that failed on their own. */
     private static final Duration TTL = Duration.ofMillis(2_500);
-    /** Three renewals fit into the lease, so that one lost call does not end it. */
+    /** Interval between renewals. Three renewals fit into the lease, so that one lost call does not end it. */
     private static final long RENEWAL_INTERVAL_MILLIS = 800;
 
     private final NioReactor reactor;
@@ -27,11 +24,11 @@
     private boolean deregistering;
 
     /**
-     * Makes a presence that is not listed.
+     * Creates a registration that is not started yet.
      *
-     * @param reactor the thread's reactor
+     * @param reactor the reactor of this thread
      * @param store the store
-     * @param entry how the router is listed
+     * @param entry the entry of the router
      */
     public RouterRegistration(NioReactor reactor, PlatformStore store, RouterEntry entry) {
         this.reactor = reactor;
@@ -39,11 +36,11 @@
         this.entry = entry;
     }
 
-    /** Lists the router, and keeps it listed. */
+    /** Registers the router and keeps it registered. */
     public void start() {
         registerOrRenew().subscribe((v, e) -> {
             if (e != null) {
-                logger.atFine().withCause(e).log("the router could not be listed or renewed");
+                logger.atFine().withCause(e).log("registering the router or renewing its lease failed");
             }
             if (!deregistering) {
                 reactor.delayBackground(RENEWAL_INTERVAL_MILLIS, this::start);
@@ -58,12 +55,12 @@
         return lease.isPresent() && registered ? renew(lease.get()) : register();
     }
 
-    private Promise<Void> renew(String held) {
-        return store.renew(held).then(alive -> {
+    private Promise<Void> renew(String currentLease) {
+        return store.renew(currentLease).then(alive -> {
             if (alive) {
                 return Promise.complete();
             }
-            logger.atInfo().with(Logs.DECISION, "lease lost").log("the router's lease ended; it is listed anew");
+            logger.atInfo().with(Logs.DECISION, "lease lost").log("the router's lease expired; registering again");
             lease = Optional.empty();
             registered = false;
             return register();
@@ -89,7 +86,7 @@
     }
 
     /**
-     * Takes the router off the list.
+     * Removes the router from the store.
      *
      * @return completes when the store has answered
      */
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/RoutingState.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/RoutingState.java
@@ -5,12 +5,12 @@
 import org.hornbeamhead.core.route.RoutingConfig;
 import org.hornbeamhead.daemon.Logs;
 
-/** The configuration in force, and how sure the router is that there is no newer one. */
+/** The configuration in force, and how certain it is that no newer one exists. */
 public final class RoutingState {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     /**
-     * A view that was confirmed within this time is taken as the newest. A configuration must be in force two seconds
-     * after it was accepted, and a waiting read confirms the view at least this often.
+     * Maximum age of the last confirmation at which the view is assumed to be the latest. A configuration must be in
+     * force two seconds after it was accepted, and a waiting read confirms the view at least this often.
      */
     private static final long MAX_CONFIRMATION_AGE_MILLIS = 2_600;
 
@@ -20,10 +20,10 @@
     private long reliableFrom = Long.MIN_VALUE / 2;
 
     /**
-     * Takes over a configuration, unless it is older than the present one.
+     * Sets the configuration, unless it is older than the current one.
      *
      * @param newer the configuration
-     * @param revision the store's revision at which it was written, for the log
+     * @param revision the revision of the store at which it was written, for the log
      */
     public void accept(RoutingConfig newer, long revision) {
         if (config.isPresent() && config.get().version() >= newer.version()) {
@@ -33,11 +33,11 @@
         logger.atInfo()
                 .with(Logs.DECISION, "configuration in force")
                 .with(Logs.INPUTS, "version=" + newer.version() + " revision=" + revision)
-                .log("configuration %d", newer.version());
+                .log("configuration %d is in force", newer.version());
     }
 
     /**
-     * Notes that the view was the newest at a time.
+     * Records that the view was the latest at a time.
      *
      * @param atMillis the monotonic time
      */
@@ -46,13 +46,14 @@
     }
 
     /**
-     * Notes that the view holds all that was accepted before a time.
+     * Records that the view contains all changes accepted before a request was sent.
      *
-     * <p>Failure: an answer of the store waits in a buffer, while the link is choked or the process has no processor.
-     * Symptom: what was accepted meanwhile is taken for newer than it is. Nothing that was accepted before the question
-     * was sent is missing from its answer, however late that comes; an answer that is ready takes some milliseconds.
+     * <p>An answer of the store may wait in a buffer while the link is congested or the process gets no processor time.
+     * Changes accepted meanwhile would then be taken for newer than they are. The answer contains everything that was
+     * accepted before its request was sent, however late it arrives, so the time of sending is used. An answer that is
+     * ready takes some milliseconds.
      *
-     * @param sentMillis the monotonic time at which the answered question was sent
+     * @param sentMillis the monotonic time at which the answered request was sent
      */
     public void markCompleteUpTo(long sentMillis) {
         if (isReliable(sentMillis)) {
@@ -61,11 +62,11 @@
     }
 
     /**
-     * Counts time that the monotonic clock left out: the view is as much older, and what was asked before tells nothing
-     * about when.
+     * Accounts for time that the monotonic clock left out: the view is older by that time, and answers to earlier
+     * requests prove nothing about their time.
      *
-     * @param millis how long the machine may have stood still, in milliseconds
-     * @param nowMillis the monotonic time
+     * @param millis how long the machine may have been suspended, in milliseconds
+     * @param nowMillis the current monotonic time
      */
     public void addSuspendedTime(long millis, long nowMillis) {
         completeUpTo -= millis;
@@ -74,19 +75,19 @@
     }
 
     /**
-     * Tells whether a time of sending may be counted from.
+     * Returns whether the time of sending a request may be used as a reference.
      *
-     * @param sentMillis the monotonic time at which a question was sent
-     * @return false if the machine may have stood still since
+     * @param sentMillis the monotonic time at which the request was sent
+     * @return false if the machine may have been suspended since then
      */
     public boolean isReliable(long sentMillis) {
         return sentMillis >= reliableFrom;
     }
 
     /**
-     * Tells before when the view misses nothing.
+     * Returns the time up to which the view is complete.
      *
-     * @return the monotonic time, far in the past when never
+     * @return the monotonic time, far in the past if unknown
      */
     public long completeUpTo() {
         return completeUpTo;
@@ -95,36 +96,36 @@
     /**
      * Returns the configuration.
      *
-     * @return the configuration in force, empty before the first
+     * @return the configuration in force, or empty before the first one
      */
     public Optional<RoutingConfig> config() {
         return config;
     }
 
     /**
-     * Tells when the view was last the newest.
+     * Returns when the view was last confirmed to be the latest.
      *
-     * @return the monotonic time, far in the past when never
+     * @return the monotonic time, far in the past if it was never confirmed
      */
     public long confirmedAt() {
         return confirmedAt;
     }
 
     /**
-     * Tells whether the view is surely the newest, so that what it does not allow may be denied.
+     * Returns whether the view is certainly the latest, so that a request it does not permit may be rejected.
      *
-     * @param nowMillis the monotonic time
-     * @return whether it was confirmed lately
+     * @param nowMillis the current monotonic time
+     * @return whether the view was confirmed recently
      */
     public boolean isFresh(long nowMillis) {
         return nowMillis - confirmedAt < MAX_CONFIRMATION_AGE_MILLIS;
     }
 
     /**
-     * Describes the view for the log.
+     * Returns a description of the view for the log.
      *
-     * @param nowMillis the monotonic time
-     * @return its version and age
+     * @param nowMillis the current monotonic time
+     * @return the version of the configuration and the age of its confirmation
      */
     public String inputs(long nowMillis) {
         String version = config.map(c -> Long.toString(c.version())).orElse("none");
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/StoreFollower.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/StoreFollower.java
@@ -14,51 +14,58 @@
 import org.hornbeamhead.daemon.Logs;
 
 /**
- * Keeps the mirror up with the platform's store by one waiting question after the other: to the store, when this router
- * reads it for others or nobody else answers, else to a router that reads it.
+ * Keeps the mirror up to date with the platform's store by consecutive long-polling requests. The requests go to the
+ * store if this router reads it for others or no reader answers, otherwise to a router that reads it.
  */
 public final class StoreFollower {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     /**
-     * Each waiting read that ends without a change is a priced call; a longer wait would find a silent connection late,
-     * and leave those that wait at this router with an old view of a quiet store.
+     * Maximum wait of one read of the store. Each read that ends without a change is a billed call. A longer wait would
+     * delay the detection of a silent connection, and would leave the routers that wait at this router with an outdated
+     * view of an idle store.
      */
     private static final Duration WAIT = Duration.ofSeconds(1);
     /**
-     * Changes within this time are read by one call. Where replicas change their entries often, every router would read
-     * several times a second without a pause. The pause of a router that reads for itself grows with the routers: all
-     * of them may have to, when the readers are lost together.
+     * Changes within this time are read by one call. Where replicas change their entries often, every router would
+     * otherwise read several times a second. The delay of a router that reads for itself grows with the number of
+     * routers, because all of them may have to read the store when the readers fail together.
      */
     private static final long BATCH_MILLIS_PER_ROUTER = 16;
 
     private static final long MIN_BATCH_MILLIS = 40;
-    /** A third of the time in which a change must be in force with many routers. */
+    /** A third of the time in which a change must be in force in a large fleet. */
     private static final long MAX_BATCH_MILLIS = 1_000;
-    /** What a router that reads for others gathers; the first part of how late all of them hear of a change. */
+    /**
+     * Batching delay of a router that reads for others; it is the first part of the propagation delay to all routers.
+     */
     private static final long READER_BATCH_MILLIS = 120;
-    /** Between two questions to a reader; one that always has news must not be asked without a pause. */
+    /**
+     * Delay between two requests to a reader, which would otherwise be sent continuously while the reader always has
+     * changes.
+     */
     private static final long READER_PAUSE_MILLIS = 20;
 
     /**
-     * An answer that is ready arrives within this time; it takes some milliseconds, and a busy router reads it up to a
-     * tenth of a second later. Where it takes longer, the store or a link is disturbed.
+     * An answer that is ready arrives within this time: it takes some milliseconds, and a busy router reads it up to a
+     * tenth of a second later. If it takes longer, the store or a link is disturbed.
      */
     private static final long MAX_ANSWER_DELAY_MILLIS = 200;
 
     /**
-     * A store that answered again sooner than this let nobody's entry lapse: entries go after three missed heartbeats
-     * of more than a second each, and routers read once a second at least.
+     * Interruptions of the store shorter than this do not let any entry expire: entries expire after three missed
+     * heartbeats of more than a second each, and routers read at least once a second.
      */
     private static final long MIN_OUTAGE_MILLIS = 2_000;
     /**
-     * An entry that vanished in an outage, or this shortly after, may be back: registries drop what could not be
-     * renewed. The users' pages say that live servers are listed again within two seconds.
+     * An entry that was removed during an outage, or within this time after it, may be listed again: registries drop
+     * entries that could not be renewed. According to the user documentation, live servers are listed again within two
+     * seconds.
      */
     private static final long RELIST_MILLIS = 2_000;
 
     /**
-     * A router that was answered longer ago than this asks any other one besides: the store may be silent, and its own
-     * question to it is given up only later.
+     * A router that received its last answer longer ago than this also queries any other router: the store may be
+     * silent, and the pending request to it times out only later.
      */
     private static final long BEHIND_MILLIS = 1_500;
 
@@ -82,18 +89,18 @@
     private long relistUntil = Long.MIN_VALUE / 2;
 
     /**
-     * What a follower works with.
+     * The dependencies of a follower.
      *
-     * @param timers the thread's timers
+     * @param timers the timers of this thread
      * @param clock the clock
      * @param random the source of randomness
      * @param store the store
-     * @param mirror the mirror to keep up
-     * @param state told when the mirror is confirmed to be the newest
-     * @param suspensions looked at before a time is counted
-     * @param routers counts the routers, this one included
+     * @param mirror the mirror to update
+     * @param state the routing state, which records when the mirror was confirmed to be the latest
+     * @param suspensionDetector checked before a time is recorded
+     * @param routerCount supplies the number of routers, including this one
      * @param readers the routers that read the store for others
-     * @param intake takes over what they tell
+     * @param updater applies the answers of readers
      */
     public record Parts(
             Timers timers,
@@ -108,9 +115,9 @@
             MirrorUpdater updater) {}
 
     /**
-     * Makes a follower that does not follow yet.
+     * Creates a follower that is not started yet.
      *
-     * @param parts what it works with
+     * @param parts the dependencies
      */
     StoreFollower(Parts parts) {
         this.timers = parts.timers();
@@ -125,35 +132,40 @@
         this.updater = parts.updater();
     }
 
-    /** Starts to follow. */
+    /** Starts to read changes. */
     public void start() {
         disconnectedSince = clock.monotonicMillis();
         answeredAt = disconnectedSince;
         poll();
     }
 
-    /** A router that knows nothing yet has to read the store: readers are found in what was read. */
+    /**
+     * Sends the next request. A router with an empty mirror must read the store, because it finds the readers in the
+     * store.
+     */
     private void poll() {
         Optional<String> reader = mirror.revision() == 0 ? Optional.empty() : readers.select();
         logReaderChange(reader);
         reader.ifPresentOrElse(this::watchReader, this::watchStore);
     }
 
-    private void logReaderChange(Optional<String> next) {
-        if (!next.equals(currentReader)) {
+    private void logReaderChange(Optional<String> nextReader) {
+        if (!nextReader.equals(currentReader)) {
             logger.atInfo()
                     .with(Logs.DECISION, "source of changes")
-                    .with(Logs.INPUTS, "reader=" + next.orElse("the store") + " before=" + currentReader.orElse("the store"))
-                    .log("changes are read elsewhere from now on");
+                    .with(
+                            Logs.INPUTS,
+                            "reader=" + nextReader.orElse("the store") + " before=" + currentReader.orElse("the store"))
+                    .log("changes are now read from another source");
         }
-        currentReader = next;
+        currentReader = nextReader;
     }
 
     private void watchReader(String reader) {
         long sent = clock.monotonicMillis();
         readers.fetch(reader, mirror.revision()).subscribe((answer, e) -> {
             if (e != null) {
-                logger.atFine().withCause(e).log("reader %s does not tell what changed", reader);
+                logger.atFine().withCause(e).log("fetching changes from reader %s failed", reader);
                 poll();
                 return;
             }
@@ -171,22 +183,22 @@
 
     private void watchStore() {
         long sent = clock.monotonicMillis();
-        boolean whole = !snapshotRead;
-        Promise<StoreChanges> call = whole ? store.readAll() : store.watch(mirror.revision(), WAIT);
+        boolean readsSnapshot = !snapshotRead;
+        Promise<StoreChanges> call = readsSnapshot ? store.readAll() : store.watch(mirror.revision(), WAIT);
         call.subscribe((changes, e) -> {
             if (e == null) {
-                handleChanges(changes, sent, whole);
+                handleChanges(changes, sent, readsSnapshot);
             } else {
                 handleFailure(e);
             }
         });
     }
 
-    private void handleChanges(StoreChanges changes, long sent, boolean whole) {
+    private void handleChanges(StoreChanges changes, long sent, boolean readsSnapshot) {
         handleConnected("the store");
         snapshotRead = true;
         suspensionDetector.check();
-        if (!whole) {
+        if (!readsSnapshot) {
             markCompleteWhileWaiting(sent, clock.monotonicMillis());
         }
         mirror.apply(changes);
@@ -195,14 +207,14 @@
         timers.schedule(batchMillis(), this::poll);
     }
 
-    /** Notes that what is new is heard again, whoever tells it. */
-    private void handleConnected(String who) {
+    /** Records that this router receives changes again, whatever their source. */
+    private void handleConnected(String sourceName) {
         long now = clock.monotonicMillis();
         if (disconnectedSince != 0) {
             logger.atInfo()
                     .with(Logs.DECISION, "store reached")
                     .with(Logs.INPUTS, "awayMillis=" + (now - disconnectedSince) + " revision=" + mirror.revision())
-                    .log("%s answers", who);
+                    .log("connected to %s", sourceName);
             relistUntil = isOutage(now) ? now + RELIST_MILLIS : relistUntil;
         }
         disconnectedSince = 0;
@@ -211,9 +223,9 @@
     }
 
     /**
-     * The store answers a waiting question as soon as there is a change. So nothing was accepted while it waited, but
-     * for what its answer tells. Without this a name would count from the question before, three seconds ago in a store
-     * where nothing else changes.
+     * The store answers a waiting request as soon as there is a change. So no change was accepted during the wait
+     * except those in the answer. Without this, a version would count as published at the previous request, three
+     * seconds ago in a store where nothing else changes.
      */
     private void markCompleteWhileWaiting(long sent, long now) {
         if (now - sent > MAX_ANSWER_DELAY_MILLIS && state.isReliable(sent)) {
@@ -222,15 +234,15 @@
     }
 
     private long batchMillis() {
-        long own = batchMillis(routerCount.getAsInt());
-        return readers.isSelfReader() ? Math.min(READER_BATCH_MILLIS, own) : own;
+        long delayMillis = batchMillis(routerCount.getAsInt());
+        return readers.isSelfReader() ? Math.min(READER_BATCH_MILLIS, delayMillis) : delayMillis;
     }
 
     /**
-     * Tells how long a router that reads for itself gathers changes.
+     * Returns how long a router that reads for itself collects changes before the next read.
      *
-     * @param routers the routers that read the store
-     * @return milliseconds
+     * @param routers the number of routers that read the store
+     * @return the delay in milliseconds
      */
     static long batchMillis(int routers) {
         return Math.max(MIN_BATCH_MILLIS, Math.min(MAX_BATCH_MILLIS, routers * BATCH_MILLIS_PER_ROUTER));
@@ -239,7 +251,9 @@
     private void handleFailure(Exception e) {
         if (e instanceof HistoryLostException) {
             snapshotRead = false;
-            logger.atInfo().with(Logs.DECISION, "store read again").log("the store's history is lost");
+            logger.atInfo()
+                    .with(Logs.DECISION, "store read again")
+                    .log("the store no longer holds the required history; reading a snapshot");
             poll();
             return;
         }
@@ -254,40 +268,40 @@
     }
 
     /**
-     * Tells whether the store does not answer this router.
+     * Returns whether neither the store nor a reader answers this router.
      *
-     * @return true from the first failed call to the next good one
+     * @return true from the first failed call to the next successful one
      */
     public boolean isDisconnected() {
         return disconnectedSince != 0;
     }
 
     /**
-     * Tells whether this router may miss what others know.
+     * Returns whether this router may lack changes that others have.
      *
-     * @return true while nobody answers, or when the last answer is old
+     * @return true while no source answers, or if the last answer is old
      */
     public boolean isBehind() {
         return isDisconnected() || clock.monotonicMillis() - answeredAt > BEHIND_MILLIS;
     }
 
     /**
-     * Tells whether the store itself answers this router.
+     * Returns whether the store itself answers this router.
      *
-     * @return false while it waits at another router, or the store does not answer
+     * @return false while this router waits for changes from another router, or the store does not answer
      */
     public boolean readsStore() {
         return currentReader.isEmpty() && snapshotRead && !isDisconnected();
     }
 
     /**
-     * Tells how long the removal of an entry may still turn out to be the work of an outage.
+     * Returns how long removed entries may still be listed again after an outage.
      *
-     * <p>Failure: one waiting read is cut while the store is sound, and a removal that comes with the next one is not
-     * believed for two seconds. Symptom: a replica that left without a word gets requests after the time in which it
-     * must get none. Only an outage in which entries can lapse is a reason to wait.
+     * <p>If a single waiting read is cut off while the store works, removals in the next read must take effect at once.
+     * Delaying them by two seconds would send requests to a replica that left without notice after the time at which it
+     * must receive none. Only an outage in which entries can expire delays removals.
      *
-     * @return milliseconds; zero when removals are to be believed at once
+     * @return the time in milliseconds; 0 if removals take effect at once
      */
     public long relistMillis() {
         long now = clock.monotonicMillis();
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/StoreUnavailableException.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/StoreUnavailableException.java
@@ -1,13 +1,13 @@
 package org.hornbeamhead.gateway.state;
 
-/** The store did not do what it was asked. */
+/** Thrown when the store or another router did not answer a request as expected. */
 public final class StoreUnavailableException extends Exception {
     private static final long serialVersionUID = 1;
 
     /**
-     * Makes the exception.
+     * Creates the exception.
      *
-     * @param message what came instead
+     * @param message what happened instead
      */
     public StoreUnavailableException(String message) {
         super(message);
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/StoreView.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/StoreView.java
@@ -11,28 +11,28 @@
 import org.hornbeamhead.core.time.Clock;
 import org.hornbeamhead.core.time.Timers;
 
-/** This router's view of the store: what keeps it up, and what tells others of it. */
+/** This router's view of the store: the components that update it and that serve it to other routers. */
 public final class StoreView {
     private final StoreFollower follower;
     private final PeerMirrorPoller peerPoller;
     private final MirrorServer server;
 
     /**
-     * What a view works with.
+     * The dependencies of a view.
      *
-     * @param timers the thread's timers
+     * @param timers the timers of this thread
      * @param clock the clock
      * @param random the source of randomness
      * @param store the store
-     * @param mirror the mirror to keep up
-     * @param state told how new the mirror is
-     * @param weights told when versions were named
-     * @param suspensions looked at before a time is counted or told
+     * @param mirror the mirror to update
+     * @param state the routing state, which records how recent the mirror is
+     * @param weights the view of weights, which records when versions were published
+     * @param suspensionDetector checked before a time is recorded or reported
      * @param routers the listed routers
-     * @param self this router's name
-     * @param anyone the addresses at which any other router may be asked
-     * @param askReader asks a router that reads the store
-     * @param askAnyone asks any other router
+     * @param self the name of this router
+     * @param peers supplies the addresses of all other routers
+     * @param readerClient fetches changes from routers that read the store
+     * @param peerClient fetches changes from any other router
      */
     public record Parts(
             Timers timers,
@@ -50,12 +50,13 @@
             MirrorClient peerClient) {}
 
     /**
-     * Makes a view that knows nothing yet.
+     * Creates an empty view.
      *
-     * @param p what it works with
+     * @param p the dependencies
      */
     public StoreView(Parts p) {
-        MirrorUpdater intake = new MirrorUpdater(p.clock(), p.mirror(), p.state(), p.weights(), p.suspensionDetector());
+        MirrorUpdater updater =
+                new MirrorUpdater(p.clock(), p.mirror(), p.state(), p.weights(), p.suspensionDetector());
         follower = new StoreFollower(new StoreFollower.Parts(
                 p.timers(),
                 p.clock(),
@@ -66,14 +67,14 @@
                 p.suspensionDetector(),
                 p.routers()::count,
                 new ReaderClient(p.clock(), p.routers()::readers, p.self(), p.readerClient()),
-                intake));
+                updater));
         peerPoller = new PeerMirrorPoller(
                 p.timers(),
                 p.clock(),
                 p.random(),
                 p.peerClient(),
                 p.mirror(),
-                intake,
+                updater,
                 p.weights(),
                 follower::isBehind,
                 p.peers());
@@ -88,19 +89,22 @@
                 follower::relistMillis);
     }
 
-    /** Begins to read. */
+    /** Starts to read the store. */
     public void start() {
         follower.start();
         peerPoller.start();
     }
 
-    /** Asks other routers again, as after a start: what this one knew of times is in doubt. */
+    /**
+     * Collects initial answers of other routers again, as after a start, because the publication times known to this
+     * router are unreliable.
+     */
     public void restartBootstrap() {
         peerPoller.restartBootstrap();
     }
 
     /**
-     * Notes a change that other routers have to hear of.
+     * Records a change that has to be reported to other routers.
      *
      * @param item the changed item
      */
@@ -109,42 +113,42 @@
     }
 
     /**
-     * Answers another router's question for changes.
+     * Handles the request of another router for changes.
      *
-     * @param request the question
-     * @return the answer, when there is something to tell
+     * @param request the request
+     * @return the response, as soon as there are changes or the requested wait has ended
      */
     public Promise<HttpResponse> handle(HttpRequest request) {
         return server.handle(request);
     }
 
-    /** Asks as other routers do; completes when there is something to tell. */
+    /** Returns what another router would receive; completes when there are changes or the wait has ended. */
     Promise<MirrorAnswer> query(long after, long waitMillis) {
         return server.query(after, waitMillis);
     }
 
     /**
-     * Tells whether neither the store nor a reader of it answers.
+     * Returns whether neither the store nor a reader answers.
      *
-     * @return true from the first failed call to the next good one
+     * @return true from the first failed call to the next successful one
      */
     public boolean isDisconnected() {
         return follower.isDisconnected();
     }
 
     /**
-     * Tells whether the store itself answers this router.
+     * Returns whether the store itself answers this router.
      *
-     * @return false while it waits at another router, or the store does not answer
+     * @return false while this router waits for changes from another router, or the store does not answer
      */
     public boolean readsStore() {
         return follower.readsStore();
     }
 
     /**
-     * Tells how long the removal of an entry may still turn out to be the work of an outage.
+     * Returns how long removed entries may still be listed again after an outage of the store.
      *
-     * @return milliseconds; zero when removals are to be believed at once
+     * @return the time in milliseconds; 0 if removals take effect at once
      */
     public long relistMillis() {
         return follower.relistMillis();
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/SuspensionDetector.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/SuspensionDetector.java
@@ -7,15 +7,22 @@
 import org.hornbeamhead.daemon.Logs;
 
 /**
- * Notices that the machine stood still: the monotonic clock does not count such time, the wall clock does.
+ * Detects that the machine was suspended: the monotonic clock does not count such time, the wall clock does.
  *
- * <p>A wall clock that is set forward looks the same, so whoever is told may only become more careful for a moment.
+ * <p>A wall clock that is set forward looks the same, so a listener may only respond by becoming more cautious for a
+ * moment.
  */
 public final class SuspensionDetector {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    /** How often the clocks are compared; far below the time for which a machine that stood still is not relied on. */
+    /**
+     * Interval between comparisons of the clocks; far below the time after which a suspended machine is no longer
+     * relied on.
+     */
     private static final long CHECK_INTERVAL_MILLIS = 250;
-    /** Less than this is no harm: margins of time bounds are of this size. */
+    /**
+     * Minimum suspension that is reported. Shorter ones are harmless, because the margins of time bounds are of this
+     * size.
+     */
     private static final long MIN_REPORTED_MILLIS = 200;
 
     private final Timers timers;
@@ -24,20 +31,20 @@
     private long lastOffsetMillis;
 
     /**
-     * Makes a watch that does not look yet.
+     * Creates a detector that is not started yet.
      *
-     * @param timers the thread's timers
+     * @param timers the timers of this thread
      * @param clock the clock
-     * @param stoodStill told how long the machine stood still, in milliseconds
+     * @param onSuspended receives the length of each suspension, in milliseconds
      */
-    public SuspensionDetector(Timers timers, Clock clock, LongConsumer stoodStill) {
+    public SuspensionDetector(Timers timers, Clock clock, LongConsumer onSuspended) {
         this.timers = timers;
         this.clock = clock;
-        this.onSuspended = stoodStill;
+        this.onSuspended = onSuspended;
         this.lastOffsetMillis = wallClockOffsetMillis();
     }
 
-    /** Starts to compare the clocks. */
+    /** Starts to compare the clocks periodically. */
     public void start() {
         timers.schedule(CHECK_INTERVAL_MILLIS, this::tick);
     }
@@ -48,19 +55,20 @@
     }
 
     /**
-     * Compares the clocks now. Whoever counts a time, or tells one to another process, looks before: else what it says
-     * just after a suspension is too young by as much, and lasts where it is believed.
+     * Compares the clocks now. Must be called before a time is recorded, or reported to another process: otherwise a
+     * time recorded just after a suspension would be too recent by the length of the suspension, and stay so where it
+     * is used.
      */
     public void check() {
-        long now = wallClockOffsetMillis();
-        long still = now - lastOffsetMillis;
-        lastOffsetMillis = now;
-        if (still > MIN_REPORTED_MILLIS) {
+        long offsetMillis = wallClockOffsetMillis();
+        long suspendedMillis = offsetMillis - lastOffsetMillis;
+        lastOffsetMillis = offsetMillis;
+        if (suspendedMillis > MIN_REPORTED_MILLIS) {
             logger.atWarning()
                     .with(Logs.DECISION, "stood still")
-                    .with(Logs.INPUTS, "millis=" + still)
-                    .log("the machine stood still, or its wall clock was set forward");
-            onSuspended.accept(still);
+                    .with(Logs.INPUTS, "millis=" + suspendedMillis)
+                    .log("the machine was suspended, or its wall clock was set forward");
+            onSuspended.accept(suspendedMillis);
         }
     }
 
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/WeightsListener.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/WeightsListener.java
@@ -5,10 +5,10 @@
 import org.hornbeamhead.core.time.Clock;
 import org.hornbeamhead.daemon.Logs;
 
-/** Takes the names of weights that are read from the store over into this router's view of them. */
+/** Records the versions of weights that are read from the store in the view of this router. */
 public final class WeightsListener {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    /** In the log, a view of which nothing is proven is as old as this, in milliseconds. */
+    /** Maximum age in the log, in milliseconds; used if the view has never been confirmed. */
     private static final long MAX_LOGGED_MILLIS = 1_000_000;
 
     private final Clock clock;
@@ -17,11 +17,11 @@
     private final WeightsView weights;
 
     /**
-     * Makes a listener.
+     * Creates a listener.
      *
      * @param clock the clock
-     * @param mirror the mirror that the names come from
-     * @param state tells before when the mirror misses nothing
+     * @param mirror the mirror from which the versions are read
+     * @param state the routing state, which knows up to when the mirror is complete
      * @param weights the view
      */
     public WeightsListener(Clock clock, StoreMirror mirror, RoutingState state, WeightsView weights) {
@@ -32,11 +32,11 @@
     }
 
     /**
-     * Takes over a name.
+     * Records a published version.
      *
      * @param model the model
-     * @param version the version that is named
-     * @param revision the store's revision at which it was written, for the log
+     * @param version the published version
+     * @param revision the revision of the store at which it was written, for the log
      */
     public void versionPublished(String model, long version, long revision) {
         long now = clock.monotonicMillis();
@@ -46,7 +46,7 @@
                         Logs.INPUTS,
                         "model=" + model + " version=" + version + " revision=" + revision + " provenMillisAgo="
                                 + Math.min(now - state.completeUpTo(), MAX_LOGGED_MILLIS))
-                .log("weights named: %d", version);
+                .log("weights version published: %d", version);
         if (mirror.revision() == 0) {
             weights.recordFound(model, version, now);
         } else {
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/WeightsView.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/WeightsView.java
@@ -11,45 +11,53 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Which weights are named, and which replicas are about to change theirs. */
+/** The published versions of weights, and the replicas that are about to change their weights. */
 public final class WeightsView {
     /**
-     * Answers on older weights are worth less from this time after a newer version was named; from the users' pages.
+     * Time after the publication of a newer version from which answers on older weights are worth less, as documented
+     * for users.
      */
     private static final long PENALTY_DELAY_MILLIS = 1_500;
     /**
-     * Ends this long before the bound: an answer of the store comes with a delay, and closing a connection takes its
-     * time too. How late a name was read is no part of it, since the bound runs from when the store still lacked it.
+     * Requests on older weights stop this long before the bound, to allow for the delay of an answer of the store and
+     * for the time to close a connection. No margin is needed for the delay in reading a new version, since the bound
+     * starts when the store still lacked the version.
      */
     private static final long BOUND_MARGIN_MILLIS = 350;
-    /** A notice of a change that was not renewed for this long belongs to a holder that is gone. */
+    /**
+     * Lifetime of a notice about changing replicas. If it is not renewed for this long, the router that sent it is
+     * gone.
+     */
     private static final long AVOID_NOTICE_TTL_MILLIS = 3_000;
 
     /**
-     * What is left of old weights when nobody tells since when they are old; a change of all replicas takes about 3 s.
+     * Remaining usable time of older weights if it is unknown when the newer version was published. Changing all
+     * replicas takes about 3 s.
      */
     private static final long ESTIMATED_USABLE_MILLIS = 1_500;
 
-    /** A change of all replicas and one round of the dossiers at the sheets' rates take about this long. */
+    /**
+     * Changing all replicas and sending each dossier once, at the rates of the deployment sheets, take about this long.
+     */
     private static final long SETTLE_MILLIS = 8_000;
 
     private final long usableAfterReplacementMillis;
     private final Map<String, NavigableMap<Long, Publication>> publications = new HashMap<>();
-    private final Set<String> isAvoided = new HashSet<>();
+    private final Set<String> avoidedReplicas = new HashSet<>();
     private long avoidedSinceMillis;
 
     /**
-     * What is known of when a version was named.
+     * A time at which a version was not published yet, observed or estimated.
      *
-     * <p>Failure: a router reads the store once a second and counts from when it read the name. Symptom: requests begin
-     * on replaced weights after the bound, up to 0.65 s late with 84 routers. It was not named while the store is known
-     * to have lacked it, and neither was any version between it and the one known then: counted from there, no use is
-     * too long, whatever was missed.
+     * <p>A router reads the store once a second. If it counted from the time at which it read a version, requests would
+     * begin on replaced weights after the bound, up to 0.65 s late with 84 routers. Instead it counts from the last
+     * time at which the store is known to have lacked the version. No version between the one known then and this one
+     * was published earlier either, so older weights are never used for too long, even if versions were missed.
      */
     private record Publication(long notBeforeMillis, boolean estimated) {
         /**
-         * A guess yields to what a router saw. Of two that saw the name, the one that looked for it in vain later is
-         * nearer to the truth; of two guesses, the earlier allows less.
+         * Returns the more accurate of two times. An observed time is preferred to an estimate. Of two observed times
+         * the later is closer to the publication; of two estimates the earlier allows less use of older weights.
          */
         Publication moreAccurate(Publication other) {
             if (estimated != other.estimated) {
@@ -60,7 +68,7 @@
     }
 
     /**
-     * Makes a view that knows nothing.
+     * Creates an empty view.
      *
      * @param boundMillis the time after which no request may begin on older weights, in milliseconds
      */
@@ -69,54 +77,57 @@
     }
 
     /**
-     * Takes over a version whose naming this router saw.
+     * Records a version whose publication this router observed.
      *
      * @param model the model
      * @param version the version
-     * @param notBeforeMillis the monotonic time at which it was surely not named yet
+     * @param notBeforeMillis the monotonic time at which the version was not published yet
      */
     public void recordPublished(String model, long version, long notBeforeMillis) {
         put(model, version, new Publication(notBeforeMillis, false));
     }
 
     /**
-     * Takes over a version that was named some time before this router started.
+     * Records a version that was published before this router started, at an unknown time.
      *
-     * <p>Failure: a router that was restarted counts the bound from its own start. Symptom: it goes on sending requests
-     * to replicas with old weights long after the bound. Until another router tells when the version was named, it is
-     * taken as named so long ago that only a moment is left.
+     * <p>If a restarted router counted the bound from its own start, it would send requests to replicas with old
+     * weights long after the bound. Until another router reports when the version was published, the publication is
+     * assumed to be so long ago that only a short usable time is left.
      *
      * @param model the model
      * @param version the version
-     * @param nowMillis the monotonic time
+     * @param nowMillis the current monotonic time
      */
     public void recordFound(String model, long version, long nowMillis) {
         put(model, version, new Publication(nowMillis - usableAfterReplacementMillis + ESTIMATED_USABLE_MILLIS, true));
     }
 
     /**
-     * Takes over another router's word of when a version was named. Its guesses count as well.
+     * Records the publication time that another router reports. Its estimates are recorded too.
      *
-     * <p>Failure: all routers are restarted in turn, and each one knows only the names since its own start. Symptom:
-     * one that asks another takes the later name for the one that replaced the weights, and goes on with them for as
-     * long again. A version that both only found stands between the two, and keeps its guess.
+     * <p>When all routers are restarted in turn, each knows only the versions published since its own start. A router
+     * that asked another one would take the later version for the one that replaced the weights, and would use them for
+     * as long again. A version that both routers only found at their start lies between the two, and keeps its
+     * estimate.
      *
-     * @param age what the other router tells
-     * @param asOfMillis the monotonic time of this router before which the other one did not answer
+     * @param age the age that the other router reports
+     * @param asOfMillis the monotonic time of this router before which the other router did not answer
      */
     public void recordFromPeer(NamedAge age, long asOfMillis) {
         put(age.model(), age.version(), new Publication(asOfMillis - age.millisAgo(), age.guessed()));
     }
 
-    private void put(String model, long version, Publication named) {
-        publications.computeIfAbsent(model, m -> new TreeMap<>()).merge(version, named, Publication::moreAccurate);
+    private void put(String model, long version, Publication publication) {
+        publications
+                .computeIfAbsent(model, m -> new TreeMap<>())
+                .merge(version, publication, Publication::moreAccurate);
     }
 
     /**
-     * Tells other routers when versions were named.
+     * Returns the ages of all versions, to be reported to other routers.
      *
-     * @param nowMillis the monotonic time
-     * @return the versions of all models, with those that this router only found
+     * @param nowMillis the current monotonic time
+     * @return the versions of all models, including those with an estimated age
      */
     public List<NamedAge> publicationAges(long nowMillis) {
         return publications.entrySet().stream()
@@ -130,33 +141,38 @@
     }
 
     /**
-     * Counts time that the monotonic clock left out, as far as it may be so.
+     * Accounts for time that the monotonic clock may have left out.
      *
-     * <p>Failure: a machine stands still for seconds, and its clock does not count them. Symptom: requests begin on
-     * replaced weights for as much longer than the bound. What is known becomes a guess that is as much older, until
-     * other routers tell: they restore it at once where the wall clock alone was set.
+     * <p>If a machine is suspended for seconds, its monotonic clock does not advance, and requests would begin on
+     * replaced weights that much later than the bound. All known times become estimates that lie further in the past,
+     * until other routers report them. If only the wall clock was set, these reports restore the times at once.
      *
-     * @param millis how long the machine may have stood still, in milliseconds
+     * @param millis how long the machine may have been suspended, in milliseconds
      */
     public void addSuspendedTime(long millis) {
-        publications.values().forEach(versions -> versions.replaceAll((v, n) -> new Publication(n.notBeforeMillis() - millis, true)));
+        publications
+                .values()
+                .forEach(
+                        versions -> versions.replaceAll((v, n) -> new Publication(n.notBeforeMillis() - millis, true)));
     }
 
     /**
-     * Tells whether another router may know more.
+     * Returns whether other routers may know more about publication times.
      *
-     * @return whether nothing is known, or a version was only found
+     * @return whether no version is known, or the publication time of one is only estimated
      */
     public boolean hasEstimates() {
         return publications.isEmpty()
-                || publications.values().stream().flatMap(v -> v.values().stream()).anyMatch(Publication::estimated);
+                || publications.values().stream()
+                        .flatMap(v -> v.values().stream())
+                        .anyMatch(Publication::estimated);
     }
 
     /**
-     * Returns the newest version.
+     * Returns the latest version of a model.
      *
      * @param model the model
-     * @return the version, 0 when none was named
+     * @return the version, or 0 if none was published
      */
     public long latestVersion(String model) {
         NavigableMap<Long, Publication> versions = publications.get(model);
@@ -164,9 +180,9 @@
     }
 
     /**
-     * Returns the newest versions of all models.
+     * Returns the latest versions of all models.
      *
-     * @return version by model
+     * @return the version of each model
      */
     public Map<String, Long> latestVersions() {
         Map<String, Long> all = new HashMap<>();
@@ -175,25 +191,26 @@
     }
 
     /**
-     * Tells whether answers on a version are worth less, since a newer one was named some time ago.
+     * Returns whether answers on a version are worth less, because a newer one was published some time ago.
      *
      * @param model the model
      * @param version the version
-     * @param nowMillis the monotonic time
-     * @return whether other replicas should be preferred
+     * @param nowMillis the current monotonic time
+     * @return whether replicas with newer weights should be preferred
      */
     public boolean isPenalized(String model, long version, long nowMillis) {
         return millisSinceReplaced(model, version, nowMillis) > PENALTY_DELAY_MILLIS;
     }
 
     /**
-     * Tells how long requests may still begin on a version. Each named version has a bound of its own, so the one that
-     * followed counts, not the newest.
+     * Returns how long requests may still begin on a version. Each version has a bound of its own, which starts when
+     * the version following it is published, not the latest one.
      *
      * @param model the model
      * @param version the version
-     * @param nowMillis the monotonic time
-     * @return milliseconds, not above zero once the bound is over; {@link Long#MAX_VALUE} while no newer one is named
+     * @param nowMillis the current monotonic time
+     * @return the time in milliseconds, 0 or less after the bound, or {@link Long#MAX_VALUE} if no newer version is
+     *     published
      */
     public long usableMillis(String model, long version, long nowMillis) {
         return replacedAtMillis(model, version)
@@ -202,24 +219,29 @@
     }
 
     /**
-     * Tells whether a version was named so long ago that what is in use was read for it.
+     * Returns whether a version was published so long ago that the prompts in use have been read with it.
      *
      * @param model the model
      * @param version the version
-     * @param nowMillis the monotonic time
-     * @return false for some seconds after the version was named
+     * @param nowMillis the current monotonic time
+     * @return false for some seconds after the publication of the version
      */
     public boolean isSettled(String model, long version, long nowMillis) {
         NavigableMap<Long, Publication> versions = publications.get(model);
-        Publication named = versions == null ? null : versions.get(version);
-        return named == null || named.estimated() || nowMillis - named.notBeforeMillis() > SETTLE_MILLIS;
+        Publication publication = versions == null ? null : versions.get(version);
+        return publication == null
+                || publication.estimated()
+                || nowMillis - publication.notBeforeMillis() > SETTLE_MILLIS;
     }
 
     private long millisSinceReplaced(String model, long version, long nowMillis) {
         return replacedAtMillis(model, version).map(at -> nowMillis - at).orElse(0L);
     }
 
-    /** No later version was named before an earlier one, so that the lowest of their times is the safe one. */
+    /**
+     * Returns when a version was replaced. A later version is never published before an earlier one, so the earliest of
+     * the times of all later versions is safe.
+     */
     private Optional<Long> replacedAtMillis(String model, long version) {
         return versionsOf(model).tailMap(version, false).values().stream()
                 .map(Publication::notBeforeMillis)
@@ -231,25 +253,25 @@
     }
 
     /**
-     * Takes over which replicas are about to change their weights.
+     * Sets the replicas that are about to change their weights.
      *
-     * @param replicas their ids
-     * @param nowMillis the monotonic time
+     * @param replicas the ids of the replicas
+     * @param nowMillis the current monotonic time
      */
     public void avoid(Set<String> replicas, long nowMillis) {
-        isAvoided.clear();
-        isAvoided.addAll(replicas);
+        avoidedReplicas.clear();
+        avoidedReplicas.addAll(replicas);
         avoidedSinceMillis = nowMillis;
     }
 
     /**
-     * Tells whether a replica is about to change its weights.
+     * Returns whether a replica is about to change its weights.
      *
-     * @param replica its id
-     * @param nowMillis the monotonic time
-     * @return whether new requests should go elsewhere
+     * @param replica the id of the replica
+     * @param nowMillis the current monotonic time
+     * @return whether new requests should be sent to other replicas
      */
     public boolean isAvoided(String replica, long nowMillis) {
-        return isAvoided.contains(replica) && nowMillis - avoidedSinceMillis < AVOID_NOTICE_TTL_MILLIS;
+        return avoidedReplicas.contains(replica) && nowMillis - avoidedSinceMillis < AVOID_NOTICE_TTL_MILLIS;
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/WorkHints.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/WorkHints.java
@@ -16,21 +16,25 @@
 import org.hornbeamhead.gateway.replica.ReplicaRegistry;
 
 /**
- * Tells other routers what this one has sent where, and takes what they tell. Hints only better the choice of replicas:
- * a lost datagram costs a worse choice, nothing else.
+ * Exchanges hints with other routers about the requests sent to replicas. Hints only improve the choice of replicas: a
+ * lost datagram results in a worse choice, nothing else.
  */
 public final class WorkHints {
-    /** How soon other routers with work hear of a request. A replica reads a long prompt in about this time. */
+    /** Interval of hints to other routers with work. A replica needs about this long to read a long prompt. */
     private static final long FLUSH_INTERVAL_MILLIS = 40;
     /**
-     * With more routers at work than this, hints go out less often, so that their bytes grow with the routers, not
-     * faster.
+     * With more active routers than this, hints are sent less often, so that their total size grows no faster than the
+     * number of routers.
      */
     private static final int MAX_FULL_RATE_ROUTERS = 16;
 
-    /** How often routers without work hear of this one's, so that they know whom to name and what to begin with. */
+    /**
+     * Interval of hints to routers without work, which use them to select entry routers and as their initial load data.
+     */
     private static final long BROADCAST_INTERVAL_MILLIS = 500;
-    /** Routers that hear every hint; more would cost each router more as the fleet grows. */
+    /**
+     * Maximum number of routers that receive a hint; more would increase the load of each router as the fleet grows.
+     */
     private static final int MAX_PEERS = 96;
 
     private final NioReactor reactor;
@@ -47,49 +51,49 @@
     private boolean idleInterval;
 
     /**
-     * Makes hints that are not told yet.
+     * Creates an exchange of hints that is not started yet.
      *
-     * @param reactor the thread's reactor
+     * @param reactor the reactor of this thread
      * @param clock the clock
      * @param registry the replicas
-     * @param peers the addresses at which other routers take hints
-     * @param working which routers have work
+     * @param peers supplies the addresses at which other routers receive hints
+     * @param workingRouters the routers that have work
      * @param datagrams the socket for hints
-     * @param onSend called for each request that another router sent
+     * @param onSend called for each request that another router sent to a replica
      */
     public WorkHints(
             NioReactor reactor,
             Clock clock,
             ReplicaRegistry registry,
             Supplier<List<String>> peers,
-            WorkingRouters working,
+            WorkingRouters workingRouters,
             PeerDatagrams datagrams,
             BiConsumer<LiveReplica, WorkHint.Send> onSend) {
         this.reactor = reactor;
         this.clock = clock;
         this.registry = registry;
         this.peers = peers;
-        this.workingRouters = working;
+        this.workingRouters = workingRouters;
         this.datagrams = datagrams;
         this.onSend = onSend;
     }
 
-    /** Starts to tell and to take hints. */
+    /** Starts to send and receive hints. */
     public void start() {
         datagrams.addListener((from, bytes) -> WorkHint.decode(bytes).ifPresent(hint -> apply(from, hint)));
         flush();
     }
 
     /**
-     * Notes a request that this router sent.
+     * Records a request that this router sent to a replica.
      *
      * @param replica the replica
-     * @param choice how it was chosen
+     * @param choice how the replica was chosen
      */
     public void recordSent(LiveReplica replica, EngineChoice choice) {
-        int read = (int) Math.round(choice.readMillis());
-        int store = (int) Math.round(choice.storeMillis());
-        pendingSends.add(new WorkHint.Send(replica.hash(), choice.beginning(), read, store));
+        int readMillis = (int) Math.round(choice.readMillis());
+        int storeMillis = (int) Math.round(choice.storeMillis());
+        pendingSends.add(new WorkHint.Send(replica.hash(), choice.beginning(), readMillis, storeMillis));
         if (idleInterval) {
             nextFlush.cancel();
             scheduleFlush(FLUSH_INTERVAL_MILLIS);
@@ -112,22 +116,23 @@
                         r.load().ownMemoryTokens()))
                 .toList();
         int rate = (int) Math.ceil(workingRouters.ownRate(now));
-        boolean news = !pendingSends.isEmpty() || !totals.equals(lastTotals);
-        boolean repeat = (rate > 0 || !totals.isEmpty()) && now - lastBroadcastMillis > BROADCAST_INTERVAL_MILLIS;
-        Set<String> near = Set.copyOf(workingRouters.others(now));
-        if (news || repeat) {
-            send(new WorkHint(rate, withFinished(totals), List.copyOf(pendingSends)), near);
+        boolean hasChanges = !pendingSends.isEmpty() || !totals.equals(lastTotals);
+        boolean broadcast = (rate > 0 || !totals.isEmpty()) && now - lastBroadcastMillis > BROADCAST_INTERVAL_MILLIS;
+        Set<String> activeRouters = Set.copyOf(workingRouters.others(now));
+        if (hasChanges || broadcast) {
+            send(new WorkHint(rate, withFinished(totals), List.copyOf(pendingSends)), activeRouters);
             lastTotals = totals;
         }
-        if (repeat) {
-            Set<String> far = new HashSet<>(peers.get());
-            far.removeAll(near);
-            send(new WorkHint(rate, totals, List.of()), far);
+        if (broadcast) {
+            Set<String> idleRouters = new HashSet<>(peers.get());
+            idleRouters.removeAll(activeRouters);
+            send(new WorkHint(rate, totals, List.of()), idleRouters);
             lastBroadcastMillis = now;
         }
         pendingSends.clear();
-        long slower = Math.max(1, near.size() / MAX_FULL_RATE_ROUTERS);
-        scheduleFlush(totals.isEmpty() && rate == 0 ? BROADCAST_INTERVAL_MILLIS : FLUSH_INTERVAL_MILLIS * slower);
+        long intervalFactor = Math.max(1, activeRouters.size() / MAX_FULL_RATE_ROUTERS);
+        scheduleFlush(
+                totals.isEmpty() && rate == 0 ? BROADCAST_INTERVAL_MILLIS : FLUSH_INTERVAL_MILLIS * intervalFactor);
     }
 
     private void send(WorkHint hint, Set<String> to) {
@@ -135,13 +140,13 @@
         to.stream().limit(MAX_PEERS).forEach(p -> datagrams.send(p, datagram));
     }
 
-    /** Replicas where the router had work, and has none now, are told with zero. */
+    /** Adds a zero total for each replica on which all requests of this router have ended. */
     private List<WorkHint.Total> withFinished(List<WorkHint.Total> totals) {
-        List<WorkHint.Total> all = new ArrayList<>(totals);
+        List<WorkHint.Total> result = new ArrayList<>(totals);
         lastTotals.stream()
                 .filter(t -> totals.stream().noneMatch(n -> n.replica() == t.replica()))
-                .forEach(t -> all.add(new WorkHint.Total(t.replica(), 0, 0, 0)));
-        return all;
+                .forEach(t -> result.add(new WorkHint.Total(t.replica(), 0, 0, 0)));
+        return result;
     }
 
     private void apply(String from, WorkHint hint) {
--- a/gateway/src/test/java/org/hornbeamhead/gateway/state/ReadOnlyStore.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/state/ReadOnlyStore.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** A store that tests only read. */
+/** A store that supports only reads. */
 interface ReadOnlyStore extends PlatformStore {
     @Override
     default Promise<WriteReply> write(String key, OptionalLong expected, String value, Optional<String> lease) {
--- a/gateway/src/test/java/org/hornbeamhead/gateway/state/RouterListTest.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/state/RouterListTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Whom callers are told to use. */
+/** Tests the addresses that are reported to callers. */
 public class RouterListTest {
     private static final RouterEntry SELF = entry("n1", 1);
     private static final RouterEntry OTHER = entry("n2", 2);
@@ -29,7 +29,7 @@
         return new Object[][] {{""}, {"null"}, {"{}"}, {"7"}, {OTHER.toJson().replace("\"10.0.0.2:80\"", "null")}};
     }
 
-    /** Guards against one damaged entry after which callers are told nothing at all. */
+    /** A single malformed entry must not keep callers from receiving the addresses of the other routers. */
     @Test(dataProvider = "malformedEntries")
     public void malformedEntryIsIgnored(String text) {
         routers.update(item("n2", OTHER.toJson()));
--- a/gateway/src/test/java/org/hornbeamhead/gateway/state/SimulatedFleet.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/state/SimulatedFleet.java
@@ -14,7 +14,7 @@
 import org.hornbeamhead.core.time.ManualClock;
 import org.hornbeamhead.core.time.ManualTimers;
 
-/** Routers that learn of changes, before one store, in virtual time. Replicas renew their entries all the while. */
+/** Simulated routers that follow one store in virtual time, while replicas renew their entries. */
 final class SimulatedFleet {
     static final String MODEL = "m";
     static final long BOUND_MILLIS = 8_000;
@@ -33,7 +33,7 @@
 
     private final Random random = new Random(SEED);
 
-    /** Whether two routers can reach one another. */
+    /** Whether the first router can connect to the second. */
     BiPredicate<Member, Member> connected = (a, b) -> true;
 
     /** Whether replicas renew their entries. */
@@ -59,7 +59,7 @@
         timers.schedule(RENEWAL_MILLIS + random.nextInt(50), () -> renew(replica));
     }
 
-    /** The routers that read the store for the others, as all of them find when their lists are whole. */
+    /** Returns the routers that read the store for the others, as chosen by routers with a complete list. */
     List<Member> readers() {
         return members.get(0).list.readers().stream().map(r -> member(r.node())).toList();
     }
@@ -71,25 +71,25 @@
                 .orElseThrow();
     }
 
-    /** Names weights, and tells when. */
+    /** Publishes a version of the weights and returns the time. */
     long publish(long version) {
         store.put(WEIGHTS_PREFIX + MODEL, Long.toString(version));
         return clock.monotonicMillis();
     }
 
-    /** Lets time pass until all of some routers know a version; tells how long that took. */
-    long millisUntilKnown(long version, List<Member> who) {
-        long from = clock.monotonicMillis();
-        while (who.stream().anyMatch(m -> m.weights.latestVersion(MODEL) < version)) {
+    /** Advances the time until all the given routers know a version, and returns how long that took. */
+    long millisUntilKnown(long version, List<Member> routers) {
+        long start = clock.monotonicMillis();
+        while (routers.stream().anyMatch(m -> m.weights.latestVersion(MODEL) < version)) {
             timers.advance(1);
-            if (clock.monotonicMillis() - from > 60_000) {
-                throw new AssertionError("not known to all after a minute");
+            if (clock.monotonicMillis() - start > 60_000) {
+                throw new AssertionError("version not known to all routers after a minute");
             }
         }
-        return clock.monotonicMillis() - from;
+        return clock.monotonicMillis() - start;
     }
 
-    /** One router, as far as it learns of changes. */
+    /** A simulated router that receives changes of the store. */
     final class Member {
         final RouterEntry entry;
         boolean alive;
@@ -119,7 +119,7 @@
             state = new RoutingState();
             weights = new WeightsView(BOUND_MILLIS);
             list = new RouterList(entry, () -> true, clock);
-            SuspensionDetector watch = new SuspensionDetector(this::schedule, clock, millis -> {});
+            SuspensionDetector detector = new SuspensionDetector(this::schedule, clock, millis -> {});
             WeightsListener listener = new WeightsListener(clock, mirror, state, weights);
             view = new StoreView(new StoreView.Parts(
                     this::schedule,
@@ -129,7 +129,7 @@
                     mirror,
                     state,
                     weights,
-                    watch,
+                    detector,
                     list,
                     entry.node(),
                     () -> list.peerAddresses(List.of()),
@@ -146,18 +146,18 @@
 
         void resume() {
             frozen = false;
-            List<Runnable> late = List.copyOf(deferred);
+            List<Runnable> actions = List.copyOf(deferred);
             deferred.clear();
-            late.forEach(Runnable::run);
+            actions.forEach(Runnable::run);
         }
 
         private void schedule(long delay, Runnable action) {
-            int mine = generation;
-            timers.schedule(delay, () -> run(mine, action));
+            int scheduledGeneration = generation;
+            timers.schedule(delay, () -> run(scheduledGeneration, action));
         }
 
-        private void run(int mine, Runnable action) {
-            if (mine != generation) {
+        private void run(int scheduledGeneration, Runnable action) {
+            if (scheduledGeneration != generation) {
                 return;
             }
             if (frozen) {
@@ -168,15 +168,15 @@
         }
 
         private void changed(StoreItem item, WeightsListener listener) {
-            String content = item.removed() ? "" : item.value().split(" ", 2)[0];
-            String before = states.put(item.key(), content);
+            String newState = item.removed() ? "" : item.value().split(" ", 2)[0];
+            String previousState = states.put(item.key(), newState);
             if (item.key().startsWith(RouterEntry.PREFIX)) {
                 list.update(item);
             } else if (item.key().startsWith(WEIGHTS_PREFIX)) {
                 listener.versionPublished(MODEL, Long.parseLong(item.value()), item.revision());
                 publishedRevisions.add(item.revision());
             }
-            if (!item.key().startsWith(REPLICA_PREFIX) || !content.equals(before)) {
+            if (!item.key().startsWith(REPLICA_PREFIX) || !newState.equals(previousState)) {
                 view.recordChange(item);
             }
         }
@@ -195,9 +195,9 @@
                 }
                 other.run(other.generation, () -> other.view
                         .query(after, wait.toMillis())
-                        .whenResult(told -> schedule(HOP_MILLIS, () -> {
+                        .whenResult(result -> schedule(HOP_MILLIS, () -> {
                             if (connected.test(this, other)) {
-                                answer.trySet(told);
+                                answer.trySet(result);
                             }
                         })));
             });
--- a/gateway/src/test/java/org/hornbeamhead/gateway/state/SimulatedStore.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/state/SimulatedStore.java
@@ -13,7 +13,7 @@
 import org.hornbeamhead.core.mirror.StoreItem;
 import org.hornbeamhead.core.time.Timers;
 
-/** The platform's store in virtual time, with a link of its own for each router. */
+/** A simulated platform store in virtual time, with a separate connection for each router. */
 final class SimulatedStore {
     private static final long ANSWER_MILLIS = 4;
     private static final long TIMEOUT_MILLIS = 600;
@@ -28,7 +28,7 @@
         this.timers = timers;
     }
 
-    /** Writes a key and tells the revision. */
+    /** Writes a key and returns its revision. */
     long put(String key, String value) {
         return write(new StoreItem(key, ++revision, value, false));
     }
@@ -39,17 +39,18 @@
 
     private long write(StoreItem item) {
         items.put(item.key(), item);
-        List<Runnable> woken = List.copyOf(waiting);
+        List<Runnable> pending = List.copyOf(waiting);
         waiting.clear();
-        woken.forEach(Runnable::run);
+        pending.forEach(Runnable::run);
         return item.revision();
     }
 
     /**
-     * Gives a router its link.
+     * Returns the store as seen by one router.
      *
-     * @param reachable whether calls are answered; a call whose answer finds the link cut fails when it is given up
-     * @return the store as the router sees it
+     * @param reachable whether calls are answered; a call whose answer is ready while the router is disconnected fails
+     *     with a timeout
+     * @return the client of the router
      */
     PlatformStore clientFor(BooleanSupplier reachable) {
         return new Client(reachable);
@@ -77,11 +78,11 @@
             if (revision > after) {
                 return answered(answer, wait.toMillis(), () -> since(after));
             }
-            Runnable end = () -> answered(answer, 0, () -> since(after));
-            waiting.add(end);
+            Runnable complete = () -> answered(answer, 0, () -> since(after));
+            waiting.add(complete);
             timers.schedule(wait.toMillis(), () -> {
-                if (waiting.remove(end)) {
-                    end.run();
+                if (waiting.remove(complete)) {
+                    complete.run();
                 }
             });
             timers.schedule(wait.toMillis() + TIMEOUT_MILLIS, () -> fail(answer));
--- a/gateway/src/test/java/org/hornbeamhead/gateway/state/StoreFollowerTest.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/state/StoreFollowerTest.java
@@ -49,9 +49,9 @@
     }
 
     /**
-     * Callers get answers on replaced weights, or are given back long before the bound: either way the router has a
-     * wrong idea of how old its view is. A question that is answered at once proves the time of its sending. One that
-     * waited was answered just now, since the store answers with the first change.
+     * If the router is wrong about the age of its view, callers get answers on replaced weights, or requests are
+     * returned to them long before the bound. A request that is answered at once proves the view up to the time of its
+     * sending. One that waited was answered just now, because the store answers with the first change.
      */
     @Test(dataProvider = "answerDelays")
     public void answerSetsCompleteUpTo(long waitMillis, long provenMillis) {
@@ -66,9 +66,10 @@
     }
 
     /**
-     * In a store where nothing else changes a question waits for two seconds in vain, and the next one is answered when
-     * a name comes. The name is as new as that answer, not as old as the question before: else five of the eight
-     * seconds for which replaced weights may be used are lost, and callers are given back.
+     * In a store where nothing else changes, a request waits for two seconds without a change, and the next one is
+     * answered when a version is published. The version must count from that answer, not from the previous request.
+     * Otherwise five of the eight seconds for which replaced weights may be used would be lost, and requests would be
+     * returned to callers.
      */
     @Test
     public void versionEndingAWaitCountsFromTheAnswer() {
@@ -89,9 +90,9 @@
     }
 
     /**
-     * The machine stands still while a question waits, and the answer lies in its buffer. What was accepted meanwhile
-     * is not in it: it proves nothing later than its question, and that is as much longer ago. Nor may a caller with a
-     * key that was given meanwhile be denied for good on the strength of it.
+     * The machine is suspended while a request waits, and the answer stays in its buffer. Changes accepted meanwhile
+     * are not in the answer, so it must prove nothing after its request, which is older by the suspension. It must not
+     * be used to permanently reject a caller whose key was added meanwhile.
      */
     @Test
     public void answerBufferedDuringSuspensionProvesNothing() {
@@ -105,25 +106,25 @@
         assertFalse(state.isFresh(clock.monotonicMillis()));
     }
 
-    private void start(LongConsumer stoodStill) {
+    private void start(LongConsumer onSuspended) {
         clock = new ManualClock(1_000_000);
         timers = new ManualTimers(clock);
         clock.advance(10_000);
         state = new RoutingState();
         mirror = new StoreMirror();
         store = new PendingStore();
-        SuspensionDetector watch = new SuspensionDetector(new ManualTimers(clock), clock, stoodStill);
+        SuspensionDetector detector = new SuspensionDetector(new ManualTimers(clock), clock, onSuspended);
         RouterEntry self = new RouterEntry("n", "", "", "", "d", 1, 0);
         ReaderClient readers = new ReaderClient(clock, () -> List.of(self), "n", (peer, after, wait) -> {
-            throw new AssertionError("a reader asks no other router");
+            throw new AssertionError("a reader must not query other routers");
         });
-        MirrorUpdater intake = new MirrorUpdater(clock, mirror, state, new WeightsView(8_000), watch);
+        MirrorUpdater updater = new MirrorUpdater(clock, mirror, state, new WeightsView(8_000), detector);
         follower = new StoreFollower(new StoreFollower.Parts(
-                timers, clock, new Random(1), store, mirror, state, watch, () -> 1, readers, intake));
+                timers, clock, new Random(1), store, mirror, state, detector, () -> 1, readers, updater));
         follower.start();
     }
 
-    /** Lets the follower send its next question. */
+    /** Lets the follower send its next request, and returns the time of sending. */
     private long awaitRequest() {
         store.requested = false;
         while (!store.requested) {
@@ -138,9 +139,10 @@
     }
 
     /**
-     * A replica leaves without a word; its entry is removed while one waiting read of a router was cut. The router must
-     * believe the removal that comes with its next read at once, or it sends requests to the replica for two seconds
-     * more. After an outage that is long enough for entries to lapse it waits for them to come back.
+     * A replica leaves without notice, and its entry is removed while a single waiting read of a router is cut off. The
+     * removal in the next read must take effect at once, or the router would send requests to the replica for two more
+     * seconds. After an outage that is long enough for entries to expire, the router must wait for them to be listed
+     * again.
      */
     @Test(dataProvider = "outages")
     public void onlyOutagesThatExpireEntriesDelayRemovals(long awayMillis, long waitMillis) {
@@ -169,12 +171,12 @@
     }
 
     /**
-     * Replicas renew their entries all the time, so each waiting read ends at once, and every router reads again. The
-     * operators pay for each call, and beyond the store's rate callers are served on old entries: up to 84 routers
+     * Replicas renew their entries continuously, so each waiting read ends at once and every router reads again. Each
+     * call is billed, and above the rate limit of the store callers are served from outdated entries. Up to 84 routers
      * together must stay far below 6,000 reads a second.
      */
     @Test(dataProvider = "fleetSizes")
     public void totalReadRateIsBounded(int routers, long millis) {
-        assertTrue(routers * 1_000L / millis <= Math.max(64, routers), "calls a second");
+        assertTrue(routers * 1_000L / millis <= Math.max(64, routers), "reads a second");
     }
 }
--- a/gateway/src/test/java/org/hornbeamhead/gateway/state/StoreViewTest.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/state/StoreViewTest.java
@@ -9,23 +9,24 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** How routers learn of what changes in the store, and what that costs, while a few of them read it for all. */
+/**
+ * Tests how changes of the store propagate to all routers, and how many reads that takes, while a few routers read it
+ * for all.
+ */
 public class StoreViewTest {
     private static final long SETTLE_MILLIS = 5_000;
-    /** A fault may come at any moment of the half a second that a question waits. */
+    /** A request waits for half a second, and a fault may occur at any moment of the wait. */
     private static final long WAIT_MILLIS = 500;
-    /** In a sound fleet a name must be known to all routers within this time. */
+    /** Without faults, all routers must know a version within this time. */
     private static final long MAX_PROPAGATION_MILLIS = 200;
-    /** What the loss of one reader may cost those that wait at it. */
+    /** Maximum delay for the routers that wait at a single failed reader. */
     private static final long ONE_TIMEOUT_MILLIS = 900;
     /**
-     * What the loss of both readers of a router may cost it. A small fleet must have a configuration in force within
-     * two seconds, of which a quarter is left for a busy host.
+     * Maximum delay for a router both of whose readers failed. In a small fleet a configuration must be in force within
+     * two seconds, of which a quarter is reserved for a busy host.
      */
     private static final long TWO_TIMEOUTS_MILLIS = 1_500;
-    /**
-     * The time within which a configuration must be in force in a large fleet, also where the store turns hosts away.
-     */
+    /** Time within which a configuration must be in force in a large fleet, even if the store refuses some hosts. */
     private static final long LARGE_FLEET_MILLIS = 4_000;
 
     @DataProvider
@@ -34,8 +35,9 @@
     }
 
     /**
-     * Operators pay for each call to the store, and callers are served on old weights until the last router has heard
-     * of new ones. Both must not grow with the fleet, though replicas renew their entries all the time.
+     * Each call to the store is billed, and callers are served on old weights until the last router has received the
+     * new version. Neither the number of reads nor the delay may grow with the fleet, although replicas renew their
+     * entries continuously.
      */
     @Test(dataProvider = "fleetSizes")
     public void versionsPropagateWithReadsIndependentOfFleetSize(int routers) {
@@ -44,20 +46,22 @@
         int before = fleet.store.reads;
         for (int version = 1; version <= 10; version++) {
             long at = fleet.publish(version);
-            long known = fleet.millisUntilKnown(version, fleet.members);
-            assertTrue(known <= MAX_PROPAGATION_MILLIS, "known to all after " + known);
+            long knownMillis = fleet.millisUntilKnown(version, fleet.members);
+            assertTrue(knownMillis <= MAX_PROPAGATION_MILLIS, "known to all routers after " + knownMillis);
             assertBounds(fleet.members, version, at);
-            fleet.timers.advance(1_000 - known);
+            fleet.timers.advance(1_000 - knownMillis);
         }
         int reads = (fleet.store.reads - before) / 10;
         assertTrue(reads <= 4 * 1_000 / 120 + 2 || routers < 8, "reads a second: " + reads);
     }
 
-    /** What is used must never be allowed for longer than the bound, and not be given up much sooner. */
-    private static void assertBounds(List<Member> who, long version, long namedAt) {
-        for (Member m : who) {
-            long end = m.weights.usableMillis(SimulatedFleet.MODEL, version - 1, namedAt);
-            assertTrue(version == 1 || end <= SimulatedFleet.BOUND_MILLIS, m.entry.node() + " allows " + end);
+    /** Asserts that replaced weights are not allowed for longer than the bound. */
+    private static void assertBounds(List<Member> routers, long version, long publishedAt) {
+        for (Member m : routers) {
+            long usableMillis = m.weights.usableMillis(SimulatedFleet.MODEL, version - 1, publishedAt);
+            assertTrue(
+                    version == 1 || usableMillis <= SimulatedFleet.BOUND_MILLIS,
+                    m.entry.node() + " allows replaced weights for " + usableMillis);
         }
     }
 
@@ -65,33 +69,33 @@
         return fault;
     }
 
-    /** Each fault, and the time in which all routers that can hear of a name must have heard of it. */
+    /** Each fault, and the maximum time until all routers that can receive a version know it. */
     @DataProvider
     public Object[][] faults() {
         return new Object[][] {
             {"a reader is killed", fault(f -> f.readers().get(0).kill()), ONE_TIMEOUT_MILLIS},
             {"all readers are killed at once", fault(f -> f.readers().forEach(Member::kill)), TWO_TIMEOUTS_MILLIS},
-            {"a reader stands still", fault(f -> f.readers().get(0).frozen = true), ONE_TIMEOUT_MILLIS},
-            {"all readers stand still", fault(f -> f.readers().forEach(r -> r.frozen = true)), TWO_TIMEOUTS_MILLIS},
-            {"the store turns one reader away", fault(f -> f.readers().get(0).reachesStore = false), LARGE_FLEET_MILLIS},
+            {"a reader is frozen", fault(f -> f.readers().get(0).frozen = true), ONE_TIMEOUT_MILLIS},
+            {"all readers are frozen", fault(f -> f.readers().forEach(r -> r.frozen = true)), TWO_TIMEOUTS_MILLIS},
+            {"the store refuses one reader", fault(f -> f.readers().get(0).reachesStore = false), LARGE_FLEET_MILLIS},
             {
-                "the store turns all readers away",
+                "the store refuses all readers",
                 fault(f -> f.readers().forEach(r -> r.reachesStore = false)),
                 LARGE_FLEET_MILLIS
             },
             {
-                "the store turns every other router away",
+                "the store refuses every second router",
                 fault(f -> f.members.forEach(m -> m.reachesStore = f.members.indexOf(m) % 2 == 0)),
                 LARGE_FLEET_MILLIS
             },
             {
-                "the fleet is cut in two",
+                "the fleet is partitioned",
                 fault(f -> f.connected = (a, b) -> f.members.indexOf(a) % 2 == f.members.indexOf(b) % 2),
                 LARGE_FLEET_MILLIS
             },
-            {"routers cannot reach one another", fault(f -> f.connected = (a, b) -> a == b), LARGE_FLEET_MILLIS},
+            {"routers cannot connect to one another", fault(f -> f.connected = (a, b) -> a == b), LARGE_FLEET_MILLIS},
             {
-                "all are killed and start again",
+                "all routers are killed and restarted",
                 fault(f -> f.members.forEach(m -> {
                     m.kill();
                     m.start();
@@ -102,9 +106,9 @@
     }
 
     /**
-     * Readers are lost, stand still or are cut off just before weights are named. The routers that wait at them must
-     * turn elsewhere: callers are given back, or served on replaced weights, by those that have not heard. Later names
-     * are heard as soon as before, and no router counts a name from later than it was given.
+     * Readers fail, freeze or are disconnected just before weights are published. The routers that wait for them must
+     * use other sources; otherwise they would return requests to callers or serve them on replaced weights. Later
+     * versions must propagate as fast as before, and no router may count a version from later than its publication.
      */
     @Test(dataProvider = "faults")
     public void faultsDelayPropagationOnlyBriefly(String name, Consumer<SimulatedFleet> fault, long millis) {
@@ -118,22 +122,23 @@
         fleet.publish(1);
         fleet.timers.advance(SETTLE_MILLIS + phase);
         fault.accept(fleet);
-        List<Member> hearing =
+        List<Member> reachable =
                 fleet.members.stream().filter(m -> m.alive && !m.frozen).toList();
         long at = fleet.publish(2);
-        long known = fleet.millisUntilKnown(2, hearing);
-        assertTrue(known <= millis, name + ": known to all after " + known);
-        assertBounds(hearing, 2, at);
+        long knownMillis = fleet.millisUntilKnown(2, reachable);
+        assertTrue(knownMillis <= millis, name + ": known to all routers after " + knownMillis);
+        assertBounds(reachable, 2, at);
         fleet.timers.advance(SETTLE_MILLIS);
         at = fleet.publish(3);
-        long later = fleet.millisUntilKnown(3, hearing);
-        assertTrue(later <= 1_300, name + ": a later name was known after " + later);
-        assertBounds(hearing, 3, at);
+        long laterMillis = fleet.millisUntilKnown(3, reachable);
+        assertTrue(laterMillis <= 1_300, name + ": a later version was known after " + laterMillis);
+        assertBounds(reachable, 3, at);
     }
 
     /**
-     * A reader stands still while weights are named, and answers what it was asked before when it runs again. Its
-     * followers have heard of the name elsewhere; the old answer must neither take them back nor make a name look new.
+     * A reader is frozen while weights are published, and answers an older request when it resumes. Its followers have
+     * received the version from other sources. The late answer must neither revert their state nor make a version look
+     * newer than it is.
      */
     @Test
     public void lateAnswerFromFrozenReaderChangesNothing() {
@@ -147,15 +152,15 @@
         reader.resume();
         fleet.timers.advance(SETTLE_MILLIS);
         assertBounds(fleet.members, 2, at);
-        fleet.members.forEach(
-                m -> assertEquals(m.publishedRevisions, m.publishedRevisions.stream().sorted().toList()));
+        fleet.members.forEach(m -> assertEquals(
+                m.publishedRevisions, m.publishedRevisions.stream().sorted().toList()));
         fleet.members.forEach(m -> assertEquals(m.weights.latestVersion(SimulatedFleet.MODEL), 2));
     }
 
     /**
-     * The store is away for long enough that entries lapse, and comes back without a replica that will be listed again
-     * a second later. No router may believe that it is gone, whoever tells it of the removal: its requests would be
-     * taken from a sound replica.
+     * The store is unavailable for long enough that entries expire, and returns without a replica that will be listed
+     * again a second later. No router may treat the replica as removed, whatever the source of the removal, since a
+     * healthy replica would get no requests.
      */
     @Test
     public void removalsAfterOutageAreDelayedOnEveryPath() {
@@ -169,10 +174,10 @@
         fleet.timers.advance(600);
         fleet.members.stream()
                 .filter(m -> m.mirror.get("replica/r1").isEmpty())
-                .forEach(m -> assertTrue(m.view.relistMillis() > 0, m.entry.node() + " believes it"));
+                .forEach(m -> assertTrue(m.view.relistMillis() > 0, m.entry.node() + " accepted the removal"));
     }
 
-    /** In a store where nothing changes, readers and their followers still know that they miss nothing. */
+    /** In a store where nothing changes, readers and their followers must still know that their view is the latest. */
     @Test
     public void idleStoreKeepsAllRoutersFresh() {
         SimulatedFleet fleet = new SimulatedFleet(40);
@@ -182,7 +187,8 @@
             fleet.timers.advance(1_000);
             long now = fleet.clock.monotonicMillis();
             fleet.members.forEach(m -> assertTrue(
-                    m.state.isFresh(now), m.entry.node() + " was confirmed " + (now - m.state.confirmedAt())));
+                    m.state.isFresh(now),
+                    m.entry.node() + " has a confirmation of age " + (now - m.state.confirmedAt())));
         }
     }
 }
--- a/gateway/src/test/java/org/hornbeamhead/gateway/state/SuspensionDetectorTest.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/state/SuspensionDetectorTest.java
@@ -25,18 +25,18 @@
     public void reportsWallClockAdvance(long millis, List<Long> expected) {
         ManualClock clock = new ManualClock(1_000_000);
         ManualTimers timers = new ManualTimers(clock);
-        List<Long> told = new ArrayList<>();
-        new SuspensionDetector(timers, clock, told::add).start();
+        List<Long> reported = new ArrayList<>();
+        new SuspensionDetector(timers, clock, reported::add).start();
         timers.advance(1_000);
         clock.skewWall(millis);
         timers.advance(1_000);
-        assertEquals(told, expected);
+        assertEquals(reported, expected);
     }
 
     /**
-     * Callers get answers on weights that are long out of use. New ones are named; two seconds later the machine stands
-     * still for five, which its clock does not count. Eight seconds after the name no more is left of the old ones, and
-     * another router's word, which it gets soon, says the same.
+     * New weights are published. Two seconds later the machine is suspended for five seconds, which its monotonic clock
+     * does not count. Eight seconds after the publication the old weights must no longer be usable, and the publication
+     * time that another router reports soon afterwards must confirm that.
      */
     @Test
     public void suspendedTimeCountsTowardsTheBound() {
@@ -45,21 +45,21 @@
         WeightsView weights = new WeightsView(BOUND);
         new SuspensionDetector(timers, clock, weights::addSuspendedTime).start();
         WeightsView other = new WeightsView(BOUND);
-        long named = clock.monotonicMillis();
-        weights.recordPublished("m", 2, named);
-        other.recordPublished("m", 2, named);
+        long publishedAt = clock.monotonicMillis();
+        weights.recordPublished("m", 2, publishedAt);
+        other.recordPublished("m", 2, publishedAt);
         timers.advance(2_000);
         clock.skewWall(5_000);
         timers.advance(1_000);
         long now = clock.monotonicMillis();
         assertTrue(weights.usableMillis("m", 1, now) <= 0);
         assertTrue(weights.hasEstimates());
-        other.publicationAges(named + BOUND).forEach(age -> weights.recordFromPeer(age, now));
+        other.publicationAges(publishedAt + BOUND).forEach(age -> weights.recordFromPeer(age, now));
         assertFalse(weights.hasEstimates());
         assertTrue(weights.usableMillis("m", 1, now) <= 0);
     }
 
-    /** The wall clock alone was set: other routers' word restores what was known. */
+    /** Only the wall clock was set. The times reported by other routers must restore the former state. */
     @Test
     public void peerRestoresAgesAfterClockChange() {
         WeightsView weights = new WeightsView(BOUND);
--- a/gateway/src/test/java/org/hornbeamhead/gateway/state/WeightsListenerTest.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/state/WeightsListenerTest.java
@@ -31,7 +31,7 @@
         mirror.addListener(i -> listener.versionPublished("m", Long.parseLong(i.value()), i.revision()));
     }
 
-    /** One answered read of the store, as the follower takes it in. */
+    /** Applies one answered read of the store, as the follower does. */
     private void applyRead(StoreChanges changes) {
         mirror.apply(changes);
         state.markCompleteUpTo(clock.monotonicMillis());
@@ -51,10 +51,10 @@
     }
 
     /**
-     * Callers get answers on weights that should be out of use: a request began 8,001 ms after newer ones were
-     * acknowledged, where 8,000 ms are allowed. The routers of a large fleet read the store once a second, and heard of
-     * the name 828 ms late; they counted from there. The name may be as old as the reading before it, in which it was
-     * missing, so nothing may begin later than the bound after that one.
+     * The routers of a large fleet read the store once a second. If they counted the bound from the read that returned
+     * a new version, here 828 ms after its publication, a request could begin 8,001 ms after the newer weights were
+     * acknowledged, where 8,000 ms are allowed. The version may be as old as the previous read, which lacked it, so no
+     * request may begin later than the bound after that read.
      */
     @Test(dataProvider = "pauses")
     public void boundStartsAtLastReadWithoutTheVersion(long pauseMillis) {
@@ -72,24 +72,25 @@
     }
 
     /**
-     * The store's history is lost between two readings, and the second one finds version 4 where version 2 was. When
-     * version 3 was named nobody can tell any more: it may have been just after the first reading.
+     * The store loses its history between two reads, and the second read returns version 4 where version 2 was. The
+     * publication time of version 3 is unknown; it may be directly after the first read, so the bound must start there.
      */
     @Test
     public void skippedVersionDoesNotExtendTheBound() {
         applyRead(publication(2, 10));
         clock.advance(30_000);
         applyRead(noChanges(20));
-        long seen = clock.monotonicMillis();
+        long lastRead = clock.monotonicMillis();
         clock.advance(2_500);
         applyRead(new StoreChanges(List.of(new StoreItem(KEY, 25, "4", false)), 30, true));
-        assertTrue(weights.usableMillis("m", 2, seen + BOUND) <= 0);
-        assertTrue(weights.usableMillis("m", 3, seen + BOUND) <= 0);
+        assertTrue(weights.usableMillis("m", 2, lastRead + BOUND) <= 0);
+        assertTrue(weights.usableMillis("m", 3, lastRead + BOUND) <= 0);
     }
 
     /**
-     * A router that starts late, or is cut from the store at its start, reads a name for the first time. It did not see
-     * when that was named: only a moment is left of older weights, and another router's word takes the place of it.
+     * A router that starts late, or is disconnected from the store at its start, reads a version for the first time. It
+     * did not observe the publication, so older weights must be usable only for a short time, until another router
+     * reports the publication time.
      */
     @Test
     public void firstReadOnlyEstimatesPublicationTime() {
@@ -99,8 +100,8 @@
         assertTrue(weights.usableMillis("m", 1, now) <= 1_500);
         assertTrue(weights.hasEstimates());
         weights.recordFromPeer(new NamedAge("m", 2, 5_000, false), now);
-        WeightsView saw = new WeightsView(BOUND);
-        saw.recordPublished("m", 2, now - 5_000);
-        assertEquals(weights.usableMillis("m", 1, now), saw.usableMillis("m", 1, now));
+        WeightsView observer = new WeightsView(BOUND);
+        observer.recordPublished("m", 2, now - 5_000);
+        assertEquals(weights.usableMillis("m", 1, now), observer.usableMillis("m", 1, now));
     }
 }
--- a/gateway/src/test/java/org/hornbeamhead/gateway/state/WeightsViewTest.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/state/WeightsViewTest.java
@@ -11,8 +11,8 @@
     private static final long BOUND = 6_000;
 
     /**
-     * Versions are named every two seconds. Each has a bound of its own: a request must not begin on version 1 later
-     * than the bound after version 2, however often newer ones are named.
+     * Versions are published every two seconds. Each has a bound of its own: no request may begin on version 1 later
+     * than the bound after version 2, however often newer versions are published.
      */
     @Test
     public void newerVersionsDoNotExtendUseOfOldWeights() {
@@ -30,8 +30,9 @@
     }
 
     /**
-     * A router is restarted five seconds after version 3 was named, while a replica still has version 2. It must not
-     * count the bound from its own start: it takes another router's word, and without one leaves only a moment.
+     * A router is restarted five seconds after version 3 was published, while a replica still has version 2. It must
+     * not count the bound from its own start. It must use the publication time reported by another router, and without
+     * one allow only a short time.
      */
     @Test
     public void restartDoesNotExtendUseOfOldWeights() {
@@ -47,9 +48,9 @@
     }
 
     /**
-     * All routers are restarted in turn while versions are named. One started after version 3 was named and heard of
-     * version 4; the next one starts after that and asks it. Neither knows when version 3 was named, so that nobody may
-     * go on with version 2 for as long as the bound after version 4.
+     * All routers are restarted in turn while versions are published. One starts after the publication of version 3 and
+     * observes that of version 4. The next one starts later and queries the first. Neither knows when version 3 was
+     * published, so version 2 must not be usable for the bound after version 4.
      */
     @Test
     public void unobservedPublicationIsNotExtendedByLaterOnes() {
@@ -63,7 +64,10 @@
         assertEquals(late.usableMillis("m", 3, 13_500), early.usableMillis("m", 3, 13_500));
     }
 
-    /** Of two routers that saw a name, the one that had looked for it in vain later knows better how old it can be. */
+    /**
+     * Of two routers that observed a publication, the one whose last read without the version was later has the closer
+     * estimate of its age.
+     */
     @Test
     public void latestReadWithoutTheVersionIsUsed() {
         WeightsView one = new WeightsView(BOUND);
@@ -79,8 +83,8 @@
     }
 
     /**
-     * A router missed version 2 and knows how old version 3 can be. Another one only found version 2, and tells a guess
-     * that is younger. It must not allow more than what is known.
+     * A router missed version 2 and knows the maximum age of version 3. Another router only found version 2 at its
+     * start, and reports a later estimate for it. The estimate must not extend the use of version 1.
      */
     @Test
     public void estimateOfSkippedVersionDoesNotExtendUse() {
@@ -114,7 +118,7 @@
         assertFalse(view.isPenalized("m", 2, 12_000));
     }
 
-    /** The router that changes weights was killed. Its last notice must not keep a replica out of use for good. */
+    /** The router that changes weights was killed. Its last notice must not exclude a replica permanently. */
     @Test
     public void avoidNoticeExpires() {
         WeightsView view = new WeightsView(BOUND);
