--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Dispatcher.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Dispatcher.java
@@ -231,7 +231,7 @@
 
     void recordEngineSend(LiveReplica replica, EngineChoice choice) {
         recordSend(replica, choice.beginning(), choice.storeMillis());
-        workHints.sent(replica, choice);
+        workHints.recordSent(replica, choice);
     }
 
     /**
@@ -265,7 +265,7 @@
      * retry instead.
      */
     private void deny(CallerRequest request, CallerResponse response, int status, String reason) {
-        if (state.surelyFresh(clock.monotonicMillis())) {
+        if (state.isFresh(clock.monotonicMillis())) {
             respond(request, response, status, reason, Headers.NONE);
         } else {
             rejectNotExecuted(request, response, reason + " in a configuration that may be old", STALE_RETRY_MILLIS);
--- a/gateway/src/main/java/org/hornbeamhead/gateway/quarantine/Quarantine.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/quarantine/Quarantine.java
@@ -82,7 +82,7 @@
     public void start() {
         history.setListener(this::historyChanged);
         dependencies.registry().onGone(detector::entryRemoved);
-        dependencies.datagrams().listen((from, bytes) -> gossip.receive(bytes));
+        dependencies.datagrams().addListener((from, bytes) -> gossip.receive(bytes));
         dependencies.metrics().gauge("hornbeam_requests_held_back", history::quarantinedCount);
     }
 
--- a/gateway/src/test/java/org/hornbeamhead/gateway/dispatch/WeightsExpiryMonitorTest.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/dispatch/WeightsExpiryMonitorTest.java
@@ -48,7 +48,7 @@
     }
 
     private void release(long version) {
-        view.name("m", version, clock.monotonicMillis());
+        view.recordPublished("m", version, clock.monotonicMillis());
     }
 
     @DataProvider
@@ -87,11 +87,11 @@
     @Test
     public void cancelsAtNextCheckWhenReleaseTurnsOutEarlier() {
         timers.advance(2 * BOUND);
-        view.found("m", 2, clock.monotonicMillis());
+        view.recordFound("m", 2, clock.monotonicMillis());
         enqueue("r", FIRST);
         timers.advance(DELAY_BEFORE_RELEASE);
         assertEquals(cancelled, List.of());
-        view.told(new NamedAge("m", 2, BOUND, false), clock.monotonicMillis());
+        view.recordFromPeer(new NamedAge("m", 2, BOUND, false), clock.monotonicMillis());
         timers.advance(WeightsExpiryMonitor.CHECK_INTERVAL_MILLIS);
         assertEquals(cancelled, List.of("r"));
     }
@@ -105,7 +105,7 @@
         release(2);
         enqueue("r", FIRST);
         timers.advance(DELAY_BEFORE_RELEASE);
-        view.doubt(BOUND);
+        view.addSuspendedTime(BOUND);
         timers.advance(WeightsExpiryMonitor.CHECK_INTERVAL_MILLIS);
         assertEquals(cancelled, List.of("r"));
     }
--- a/gateway/src/test/java/org/hornbeamhead/gateway/state/StoreFollowerTest.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/state/StoreFollowerTest.java
@@ -23,17 +23,17 @@
     private ManualTimers timers;
     private RoutingState state;
     private StoreMirror mirror;
-    private SlowStore store;
+    private PendingStore store;
     private StoreFollower follower;
 
-    private static final class SlowStore implements ReadOnlyStore {
+    private static final class PendingStore implements ReadOnlyStore {
         private SettablePromise<StoreChanges> answer;
-        private boolean asked;
+        private boolean requested;
 
         @Override
         public Promise<StoreChanges> readAll() {
             answer = new SettablePromise<>();
-            asked = true;
+            requested = true;
             return answer;
         }
 
@@ -44,44 +44,45 @@
     }
 
     @DataProvider
-    public Object[][] waits() {
+    public Object[][] answerDelays() {
         return new Object[][] {{4L, 0L}, {150L, 0L}, {700L, 500L}, {2_000L, 1_800L}};
     }
 
     /**
-     * Callers get answers on replaced weights, or are given back long before the bound: either way the router has a
-     * wrong idea of how old its view is. A question that is answered at once proves the time of its sending. One that
-     * waited was answered just now, since the store answers with the first change.
+     * If the router is wrong about the age of its view, callers get answers on replaced weights, or requests are
+     * returned to them long before the bound. A request that is answered at once proves the view up to the time of its
+     * sending. One that waited was answered just now, because the store answers with the first change.
      */
-    @Test(dataProvider = "waits")
-    public void anAnswerProvesItsQuestionOrAMomentAgo(long waitMillis, long provenMillis) {
-        begin(millis -> {});
+    @Test(dataProvider = "answerDelays")
+    public void answerSetsCompleteUpTo(long waitMillis, long provenMillis) {
+        start(millis -> {});
         clock.advance(waitMillis);
         store.answer.set(new StoreChanges(List.of(), 5, true));
-        assertEquals(state.provenAt(), 10_000);
-        long sent = ask();
+        assertEquals(state.completeUpTo(), 10_000);
+        long sent = awaitRequest();
         clock.advance(waitMillis);
         store.answer.set(new StoreChanges(List.of(), 6, false));
-        assertEquals(state.provenAt(), sent + provenMillis);
+        assertEquals(state.completeUpTo(), sent + provenMillis);
     }
 
     /**
-     * In a store where nothing else changes a question waits for two seconds in vain, and the next one is answered when
-     * a name comes. The name is as new as that answer, not as old as the question before: else five of the eight
-     * seconds for which replaced weights may be used are lost, and callers are given back.
+     * In a store where nothing else changes, a request waits for two seconds without a change, and the next one is
+     * answered when a version is published. The version must count from that answer, not from the previous request.
+     * Otherwise five of the eight seconds for which replaced weights may be used would be lost, and requests would be
+     * returned to callers.
      */
     @Test
-    public void aNameThatEndsAWaitIsNew() {
-        begin(millis -> {});
+    public void versionEndingAWaitCountsFromTheAnswer() {
+        start(millis -> {});
         WeightsView weights = new WeightsView(8_000);
         WeightsListener listener = new WeightsListener(clock, mirror, state, weights);
-        mirror.listen(i -> listener.named("m", Long.parseLong(i.value()), i.revision()));
+        mirror.addListener(i -> listener.versionPublished("m", Long.parseLong(i.value()), i.revision()));
         store.answer.set(new StoreChanges(List.of(new StoreItem("w", 4, "1", false)), 5, true));
-        ask();
+        awaitRequest();
         clock.advance(2_000);
         store.answer.set(new StoreChanges(List.of(), 5, false));
         clock.advance(1_000);
-        ask();
+        awaitRequest();
         clock.advance(1_900);
         store.answer.set(new StoreChanges(List.of(new StoreItem("w", 6, "2", false)), 6, false));
         long left = weights.usableMillis("m", 1, clock.monotonicMillis());
@@ -89,69 +90,70 @@
     }
 
     /**
-     * The machine stands still while a question waits, and the answer lies in its buffer. What was accepted meanwhile
-     * is not in it: it proves nothing later than its question, and that is as much longer ago. Nor may a caller with a
-     * key that was given meanwhile be denied for good on the strength of it.
+     * The machine is suspended while a request waits, and the answer stays in its buffer. Changes accepted meanwhile
+     * are not in the answer, so it must prove nothing after its request, which is older by the suspension. It must not
+     * be used to permanently reject a caller whose key was added meanwhile.
      */
     @Test
-    public void anAnswerThatLayInTheBufferProvesNothing() {
-        begin(millis -> state.doubt(millis, clock.monotonicMillis()));
+    public void answerBufferedDuringSuspensionProvesNothing() {
+        start(millis -> state.addSuspendedTime(millis, clock.monotonicMillis()));
         store.answer.set(new StoreChanges(List.of(), 5, true));
-        long sent = ask();
+        long sent = awaitRequest();
         clock.advance(900);
         clock.skewWall(5_000);
         store.answer.set(new StoreChanges(List.of(), 6, false));
-        assertTrue(state.provenAt() <= sent - 5_000, "proven at " + state.provenAt());
-        assertFalse(state.surelyFresh(clock.monotonicMillis()));
+        assertTrue(state.completeUpTo() <= sent - 5_000, "proven at " + state.completeUpTo());
+        assertFalse(state.isFresh(clock.monotonicMillis()));
     }
 
-    private void begin(LongConsumer stoodStill) {
+    private void start(LongConsumer onSuspended) {
         clock = new ManualClock(1_000_000);
         timers = new ManualTimers(clock);
         clock.advance(10_000);
         state = new RoutingState();
         mirror = new StoreMirror();
-        store = new SlowStore();
-        SuspensionWatch watch = new SuspensionWatch(new ManualTimers(clock), clock, stoodStill);
+        store = new PendingStore();
+        SuspensionDetector detector = new SuspensionDetector(new ManualTimers(clock), clock, onSuspended);
         RouterEntry self = new RouterEntry("n", "", "", "", "d", 1, 0);
-        ChangeReaders readers = new ChangeReaders(clock, () -> List.of(self), "n", (peer, after, wait) -> {
-            throw new AssertionError("a reader asks no other router");
+        ReaderClient readers = new ReaderClient(clock, () -> List.of(self), "n", (peer, after, wait) -> {
+            throw new AssertionError("a reader must not query other routers");
         });
-        MirrorIntake intake = new MirrorIntake(clock, mirror, state, new WeightsView(8_000), watch);
+        MirrorUpdater updater = new MirrorUpdater(clock, mirror, state, new WeightsView(8_000), detector);
         follower = new StoreFollower(new StoreFollower.Parts(
-                timers, clock, new Random(1), store, mirror, state, watch, () -> 1, readers, intake));
+                timers, clock, new Random(1), store, mirror, state, detector, () -> 1, readers, updater));
         follower.start();
     }
 
-    /** Lets the follower send its next question. */
-    private long ask() {
-        store.asked = false;
-        while (!store.asked) {
+    /** Lets the follower send its next request, and returns the time of sending. */
+    private long awaitRequest() {
+        store.requested = false;
+        while (!store.requested) {
             timers.advance(1);
         }
         return clock.monotonicMillis();
     }
 
     @DataProvider
-    public Object[][] absences() {
+    public Object[][] outages() {
         return new Object[][] {{100L, 0L}, {700L, 0L}, {2_600L, 2_000L}, {9_000L, 2_000L}};
     }
 
     /**
-     * A replica leaves without a word; its entry is removed while one waiting read of a router was cut. The router must
-     * believe the removal that comes with its next read at once, or it sends requests to the replica for two seconds
-     * more. After an outage that is long enough for entries to lapse it waits for them to come back.
+     * A replica leaves without notice, and its entry is removed while a single waiting read of a router is cut off. The
+     * removal in the next read must take effect at once, or the router would send requests to the replica for two more
+     * seconds. After an outage that is long enough for entries to expire, the router must wait for them to be listed
+     * again.
      */
-    @Test(dataProvider = "absences")
-    public void onlyAnOutageInWhichEntriesLapseDelaysRemovals(long awayMillis, long waitMillis) {
-        begin(millis -> {});
+    @Test(dataProvider = "outages")
+    public void onlyOutagesThatExpireEntriesDelayRemovals(long awayMillis, long waitMillis) {
+        start(millis -> {});
         store.answer.set(new StoreChanges(List.of(), 5, true));
-        ask();
+        awaitRequest();
         store.answer.setException(new StoreUnavailableException("cut"));
         clock.advance(awayMillis);
-        assertTrue(follower.away());
+        assertTrue(follower.isDisconnected());
         assertEquals(follower.relistMillis(), waitMillis);
-        ask();
+        awaitRequest();
         store.answer.set(new StoreChanges(List.of(), 6, false));
         assertEquals(follower.relistMillis(), waitMillis);
         clock.advance(2_000);
@@ -159,22 +161,22 @@
     }
 
     @DataProvider
-    public Object[][] fleets() {
+    public Object[][] fleetSizes() {
         return new Object[][] {{1, 40}, {2, 40}, {8, 128}, {63, 1_000}, {610, 1_000}};
     }
 
-    @Test(dataProvider = "fleets")
-    public void gathersChangesForLongerWithMoreRouters(int routers, long millis) {
-        assertEquals(StoreFollower.gatherMillis(routers), millis);
+    @Test(dataProvider = "fleetSizes")
+    public void batchDelayGrowsWithRouters(int routers, long millis) {
+        assertEquals(StoreFollower.batchMillis(routers), millis);
     }
 
     /**
-     * Replicas renew their entries all the time, so each waiting read ends at once, and every router reads again. The
-     * operators pay for each call, and beyond the store's rate callers are served on old entries: up to 84 routers
+     * Replicas renew their entries continuously, so each waiting read ends at once and every router reads again. Each
+     * call is billed, and above the rate limit of the store callers are served from outdated entries. Up to 84 routers
      * together must stay far below 6,000 reads a second.
      */
-    @Test(dataProvider = "fleets")
-    public void allRoutersTogetherReadLittle(int routers, long millis) {
-        assertTrue(routers * 1_000L / millis <= Math.max(64, routers), "calls a second");
+    @Test(dataProvider = "fleetSizes")
+    public void totalReadRateIsBounded(int routers, long millis) {
+        assertTrue(routers * 1_000L / millis <= Math.max(64, routers), "reads a second");
     }
 }
