--- a/bench/src/main/java/org/hornbeamhead/bench/PlacementBenchmark.java
+++ b/bench/src/main/java/org/hornbeamhead/bench/PlacementBenchmark.java
@@ -67,7 +67,7 @@
         table.listed(endpoints);
         IntStream.range(0, size).forEach(i -> table.report("e" + i, new LoadReport("i" + i, "m", "w", 0, 0, false)));
         addresses = endpoints.stream().map(Endpoint::address).toList();
-        entries.serving(addresses);
+        entries.updateRouters(addresses);
         placement.routers(1);
         prompt = "word ".repeat(3_600);
     }
@@ -96,7 +96,7 @@
      */
     @Benchmark
     public int answerEntry() {
-        return entries.answer("customer", Long.toString(next++)).addresses().size();
+        return entries.resolve("customer", Long.toString(next++)).addresses().size();
     }
 
     /**
--- a/core/src/main/java/org/hornbeamhead/core/engine/EngineCandidate.java
+++ b/core/src/main/java/org/hornbeamhead/core/engine/EngineCandidate.java
@@ -1,27 +1,28 @@
 package org.hornbeamhead.core.engine;
 
 /**
- * An engine that a request may go to.
+ * An engine that a request may be sent to.
  *
- * @param id names one run of the engine
- * @param dataCentre where it stands
+ * @param id identifies one run of the engine
+ * @param dataCentre its data centre
  * @param weights the version of the model's weights that it serves
- * @param settled whether the weights were named so long ago that the store beside the engines holds what is in use
- * @param load the work there
- * @param memoryTokens the tokens that fit into its memory
- * @param slots the requests that it runs at once
- * @param replaced whether answers on these weights are worth less, since newer ones were named some time ago
- * @param usableMillis how long requests may still begin on these weights, in milliseconds
- * @param steeredAway whether it is about to change its weights, so that new requests would be refused or delay it
+ * @param storeWarm whether the weights were named so long ago that the KV store holds the prefixes in use
+ * @param load the work at the engine
+ * @param memoryTokens the number of tokens that fit into its memory
+ * @param slots the number of requests that it runs at once
+ * @param superseded whether answers on these weights are worth less, since newer ones were named some time ago
+ * @param usableMillis how long requests may still start on these weights, in milliseconds
+ * @param weightChangePending whether it is about to change its weights, so that new requests would be rejected or delay
+ *     it
  */
 public record EngineCandidate(
         String id,
         String dataCentre,
         long weights,
-        boolean settled,
+        boolean storeWarm,
         EngineLoad load,
         long memoryTokens,
         int slots,
-        boolean replaced,
+        boolean superseded,
         long usableMillis,
-        boolean steeredAway) {}
+        boolean weightChangePending) {}
--- a/core/src/main/java/org/hornbeamhead/core/engine/EngineChoice.java
+++ b/core/src/main/java/org/hornbeamhead/core/engine/EngineChoice.java
@@ -3,29 +3,29 @@
 import java.util.Optional;
 
 /**
- * The engine that a request goes to.
+ * The engine that was chosen for a request.
  *
  * @param engine the engine
- * @param beginning a hash of the shared beginning with its salt
- * @param waitMillis the predicted wait behind other requests, in milliseconds
+ * @param prefixHash a hash of the shared prefix with its salt
+ * @param waitMillis the predicted wait for other requests, in milliseconds
  * @param predictedMillis the predicted time to the first event, in milliseconds
- * @param readMillis the predicted time that the engine reads for it, in milliseconds
- * @param cost what the choice was made by: the predicted time and what the choice costs besides, in milliseconds
- * @param fetchFrom the engine to fetch the beginning from; empty for the store beside the engines
- * @param storeMillis how long the store's link is busy with it, in milliseconds; 0 when nothing is fetched there
- * @param askStore whether the engine asks the store for what it should hold and does not
- * @param save whether the engine should send the parts to the store beside the engines
- * @param why in words, for the log
+ * @param prefillMillis the predicted prefill time of the request, in milliseconds
+ * @param cost the value that was minimized: the predicted time and the other costs of this engine, in milliseconds
+ * @param fetchFrom the engine to fetch the prefix from; empty for the KV store
+ * @param storeMillis how long the fetch occupies the store's link, in milliseconds; 0 when nothing is fetched from it
+ * @param queryStore whether the engine queries the store for a prefix that its cache was expected to hold and does not
+ * @param saveToStore whether the engine should save the blocks to the KV store
+ * @param reason a description for the log
  */
 public record EngineChoice(
         EngineCandidate engine,
-        long beginning,
+        long prefixHash,
         double waitMillis,
         double predictedMillis,
-        double readMillis,
+        double prefillMillis,
         double cost,
         Optional<String> fetchFrom,
         double storeMillis,
-        boolean askStore,
-        boolean save,
-        String why) {}
+        boolean queryStore,
+        boolean saveToStore,
+        String reason) {}
--- a/core/src/main/java/org/hornbeamhead/core/engine/EngineChooser.java
+++ b/core/src/main/java/org/hornbeamhead/core/engine/EngineChooser.java
@@ -12,161 +12,177 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * Chooses the engine of a request: the one with the shortest predicted time to the first event, where reading what
- * another engine has read before counts extra.
+ * Chooses the engine of a request: the one with the lowest predicted time to the first event plus the cost of
+ * prefilling what another engine has prefilled before.
  *
- * <p>Answers the load of long shared prompts. Every router computes the same order of engines from a prompt's shared
- * beginning, so that one beginning is kept by few engines even before hints between routers have come. Owned by one
- * thread.
+ * <p>Every router computes the same order of engines from a prompt's shared prefix, so that long shared prefixes are
+ * cached by few engines each, even before hints from other routers arrive. Owned by one thread.
  */
 public final class EngineChooser {
-    /** A batch's step grows with its requests: 0.017 ms a request on the sheets, over about 35 steps of a stream. */
+    /**
+     * Delay by each other request at an engine: 0.017 ms per step of a batch in the deployments, over about 35 steps of
+     * a stream.
+     */
     private static final double MILLIS_PER_REQUEST = 0.6;
-    /** The part of an engine's memory that running requests may take before new ones wait for one of them to end. */
-    private static final double MEMORY_PART = 0.9;
-    /** How long a request usually takes from its start to its end; sets how fast memory comes free. */
-    private static final double USUAL_MILLIS = 500;
+    /** Share of an engine's memory that running requests may take before new ones wait for one of them to end. */
+    private static final double MAX_MEMORY_SHARE = 0.9;
+    /** Typical time of a request from its start to its end; determines how fast memory and slots become free. */
+    private static final double TYPICAL_REQUEST_MILLIS = 500;
     /**
-     * What a try at an engine without a free slot costs besides its wait. Failure: an engine is chosen by its reading
-     * and its memory alone, and it has no slot left. Symptom: it turns the request away, which is begun again
-     * elsewhere, late and at the expense of the repeats that all share. A round trip and a repeat weigh about this.
+     * Cost of an engine without a free slot, besides the wait. Such an engine rejects the request, which is then
+     * retried elsewhere, late and at the expense of the shared retry budget. The cost is about that of a round trip and
+     * a retry.
      */
-    private static final double FULL_MILLIS = 200;
-    /** Work at another engine counts this much more than the home's, so that small differences move nothing. */
-    private static final double AWAY_MILLIS = 10;
-    /** An engine about to change its weights refuses, or delays its change. */
-    private static final double STEERED_MILLIS = 5_000;
-    /** Answers on replaced weights are worth a fifth less, as if a fifth of them came late. */
-    private static final double REPLACED_MILLIS = 400;
-
-    /** What reading costs a stream that runs at the engine, by the steps that it makes longer. */
-    private static final double HARM_PART = 0.02;
-    /** What the reading that waits at an engine costs a long answer besides its wait. */
-    private static final double PAUSE_PART = 1.0;
-
-    private static final double BEGIN_FACTOR = 1.5;
-
-    /** Engines that are weighed for a request; the small deployments of the sheets have no more. */
+    private static final double NO_SLOT_MILLIS = 200;
+    /** Extra cost of any engine but the home, so that small differences do not move a request. */
+    private static final double NOT_HOME_MILLIS = 10;
+    /** Cost of an engine that is about to change its weights: it rejects requests, or they delay its change. */
+    private static final double WEIGHT_CHANGE_MILLIS = 5_000;
+    /** Cost of superseded weights: answers on them are worth a fifth less, as if a fifth of them were late. */
+    private static final double SUPERSEDED_MILLIS = 400;
+
+    /**
+     * Cost of a prefill to each stream that runs at the engine, due to longer steps, as a factor of the prefill time.
+     */
+    private static final double INTERFERENCE_FACTOR = 0.02;
+    /** Cost for a long answer of the prefill work that is queued at an engine, besides the wait itself. */
+    private static final double PAUSE_FACTOR = 1.0;
+
+    private static final double START_FACTOR = 1.5;
+
+    /** Number of engines that are evaluated for a request; the small deployments have no more. */
     private static final int MAX_CONSIDERED = 8;
-    /** Of very large services one in so many engines is weighed. */
-    private static final int CONSIDERED_PART = 100;
+    /** In very large services, one in this many engines is evaluated. */
+    private static final int CONSIDERED_DIVISOR = 100;
 
-    /** Orders the engines for long answers. */
-    private static final String LANES = "long answers";
+    /** Key that ranks the engines for long answers. */
+    private static final String LONG_ANSWERS_KEY = "long answers";
 
-    private final CachedParts cached;
+    private final PrefixCacheTracker tracker;
 
     /**
-     * Makes a chooser that knows no beginnings.
+     * Creates a chooser that knows of no cached prefixes.
      *
-     * @param inherits whether the store beside the engines may have been filled before
+     * @param storeFilled whether the KV store may have been filled before
      */
-    public EngineChooser(boolean inherits) {
-        this.cached = new CachedParts(inherits);
+    public EngineChooser(boolean storeFilled) {
+        this.tracker = new PrefixCacheTracker(storeFilled);
     }
 
     /**
-     * Chooses.
+     * Chooses the engine for a prompt.
      *
      * @param prompt the prompt
-     * @param salt gives what separates an engine's cached parts from those of other customers and weights, by version
+     * @param salt returns the salt that separates an engine's cached blocks from those of other customers and weights,
+     *     by version
      * @param candidates the usable engines
-     * @param links how cached parts come to an engine
+     * @param links the links over which cached blocks are transferred
      * @param nowMillis the monotonic time
-     * @return the choice, empty without candidates
+     * @return the choice, empty when no candidate can start the request in time
      */
     public Optional<EngineChoice> choose(
             Prompt prompt,
             ToLongFunction<EngineCandidate> salt,
             List<EngineCandidate> candidates,
-            CacheLinks links,
+            KvTransferLinks links,
             long nowMillis) {
-        String shared = prompt.sharedKey();
-        long beginning = hash(shared);
+        String sharedKey = prompt.sharedKey();
+        long prefixHash = hash(sharedKey);
         Map<String, EngineCandidate> byId =
                 candidates.stream().collect(Collectors.toMap(EngineCandidate::id, Function.identity()));
-        BeginningSources sources =
-                new BeginningSources(cached, links, id -> Optional.ofNullable(byId.get(id)), nowMillis);
-        AnswerLanes lanes = AnswerLanes.of(candidates, id -> rank(LANES, id), nowMillis);
-        Stream<String> homes = prompt.hasLongAnswer() ? lanes.lanes().stream() : byId.keySet().stream();
-        Optional<String> home = homes.max(Comparator.comparingLong(id -> rank(shared, id)));
-        Function<EngineCandidate, EngineChoice> weigh =
-                c -> weigh(prompt, beginning ^ salt.applyAsLong(c), c, home.orElseThrow(), lanes, sources, nowMillis);
-        return best(considered(prompt, shared, candidates, lanes), weigh)
-                .or(() -> best(staying(candidates).stream(), weigh));
+        PrefixSources sources = new PrefixSources(tracker, links, id -> Optional.ofNullable(byId.get(id)), nowMillis);
+        LongAnswerEngines longAnswerEngines =
+                LongAnswerEngines.of(candidates, id -> rank(LONG_ANSWERS_KEY, id), nowMillis);
+        Stream<String> homeCandidates =
+                prompt.hasLongAnswer() ? longAnswerEngines.preferred().stream() : byId.keySet().stream();
+        Optional<String> home = homeCandidates.max(Comparator.comparingLong(id -> rank(sharedKey, id)));
+        Function<EngineCandidate, EngineChoice> evaluate = candidate -> evaluate(
+                prompt,
+                prefixHash ^ salt.applyAsLong(candidate),
+                candidate,
+                home.orElseThrow(),
+                longAnswerEngines,
+                sources,
+                nowMillis);
+        return best(considered(prompt, sharedKey, candidates, longAnswerEngines), evaluate)
+                .or(() -> best(withoutPendingChange(candidates).stream(), evaluate));
     }
 
     private static Optional<EngineChoice> best(
-            Stream<EngineCandidate> engines, Function<EngineCandidate, EngineChoice> weigh) {
-        return engines.map(weigh)
-                .filter(EngineChooser::beginsInTime)
+            Stream<EngineCandidate> engines, Function<EngineCandidate, EngineChoice> evaluate) {
+        return engines.map(evaluate)
+                .filter(EngineChooser::startsInTime)
                 .min(Comparator.comparingDouble(EngineChoice::cost));
     }
 
-    /** Those that are not about to change their weights, as long as there are any. */
-    private static List<EngineCandidate> staying(List<EngineCandidate> candidates) {
-        List<EngineCandidate> staying =
-                candidates.stream().filter(c -> !c.steeredAway()).toList();
-        return staying.isEmpty() ? candidates : staying;
+    /** Returns the engines that are not about to change their weights, or all of them when there are none. */
+    private static List<EngineCandidate> withoutPendingChange(List<EngineCandidate> candidates) {
+        List<EngineCandidate> remaining = candidates.stream()
+                .filter(candidate -> !candidate.weightChangePending())
+                .toList();
+        return remaining.isEmpty() ? candidates : remaining;
     }
 
     /**
-     * Leaves out most engines of a large service.
+     * Returns the engines to evaluate for a request.
      *
-     * <p>Failure: hints are a tenth of a second old with many routers, and all of them see the same engine idle.
-     * Symptom: twenty requests go there at once and wait for a second. Each beginning has a few engines of its own, so
-     * that two requests rarely look at the same; its copies stay on these, too. When none of these can begin in time,
-     * all are looked at: near the bound of replaced weights only a few engines may have the new ones.
+     * <p>With many routers, hints are a tenth of a second old, so that all routers see the same engine idle, twenty
+     * requests go there at once, and they wait for a second. In a large service each prefix therefore has a few engines
+     * of its own: two requests rarely evaluate the same ones, and the cached copies of a prefix stay on these. When
+     * none of them can start a request in time, all engines are evaluated, since few may have the new weights when the
+     * superseded ones are about to expire.
      */
     private static Stream<EngineCandidate> considered(
-            Prompt prompt, String shared, List<EngineCandidate> candidates, AnswerLanes lanes) {
+            Prompt prompt, String sharedKey, List<EngineCandidate> candidates, LongAnswerEngines longAnswerEngines) {
         if (prompt.hasLongAnswer()) {
-            return candidates.stream().filter(lanes::open);
+            return candidates.stream().filter(longAnswerEngines::isEligible);
         }
-        List<EngineCandidate> usable = candidates.size() <= MAX_CONSIDERED ? candidates : staying(candidates);
+        List<EngineCandidate> usable =
+                candidates.size() <= MAX_CONSIDERED ? candidates : withoutPendingChange(candidates);
         return usable.stream()
-                .sorted(Comparator.comparingLong((EngineCandidate c) -> -rank(shared, c.id())))
-                .limit(Math.max(MAX_CONSIDERED, candidates.size() / CONSIDERED_PART));
+                .sorted(Comparator.comparingLong((EngineCandidate candidate) -> -rank(sharedKey, candidate.id())))
+                .limit(Math.max(MAX_CONSIDERED, candidates.size() / CONSIDERED_DIVISOR));
     }
 
     /**
-     * Notes that a request went to an engine, of this router or another.
+     * Records that a request was sent to an engine, by this router or another.
      *
-     * @param beginning a hash of the shared beginning with its salt
+     * @param prefixHash a hash of the shared prefix with its salt
      * @param engine the engine
-     * @param readyAfterMillis when the engine will have read it, as predicted, in milliseconds from now
-     * @param links how cached parts come to an engine
-     * @param storeMillis how long the store's link is busy with it, in milliseconds
+     * @param readyAfterMillis the predicted time until the engine has prefilled it, in milliseconds from now
+     * @param links the links over which cached blocks are transferred
+     * @param storeMillis how long the fetch occupies the store's link, in milliseconds
      * @param nowMillis the monotonic time
      */
-    public void sent(
-            long beginning,
+    public void recordSent(
+            long prefixHash,
             String engine,
             double readyAfterMillis,
-            CacheLinks links,
+            KvTransferLinks links,
             double storeMillis,
             long nowMillis) {
-        cached.sent(beginning, engine, nowMillis + Math.round(readyAfterMillis));
-        links.store(beginning).ifPresent(s -> cached.fetching(s.address(), storeMillis, nowMillis));
-        cached.saved(beginning, nowMillis);
+        tracker.recordSent(prefixHash, engine, nowMillis + Math.round(readyAfterMillis));
+        links.storeFor(prefixHash).ifPresent(store -> tracker.recordFetch(store.address(), storeMillis, nowMillis));
+        tracker.recordSaved(prefixHash, nowMillis);
     }
 
     /**
-     * Failure: a request waits at an engine with replaced weights, and begins after the time until which that is
-     * allowed. Symptom: an answer on weights that should be out of use. Half as much again as predicted must fit.
+     * Returns whether a request starts before its engine's weights expire, with a margin of half the predicted time.
+     * Without the check, a request could wait at an engine with superseded weights and be answered on weights that are
+     * out of use.
      */
-    private static boolean beginsInTime(EngineChoice choice) {
-        return choice.predictedMillis() * BEGIN_FACTOR < choice.engine().usableMillis();
+    private static boolean startsInTime(EngineChoice choice) {
+        return choice.predictedMillis() * START_FACTOR < choice.engine().usableMillis();
     }
 
     /**
-     * Notes that an engine did not take a request.
+     * Records that an engine rejected a request.
      *
-     * @param beginning a hash of the shared beginning with its salt
+     * @param prefixHash a hash of the shared prefix with its salt
      * @param engine the engine
      */
-    public void refused(long beginning, String engine) {
-        cached.refused(beginning, engine);
+    public void recordRejected(long prefixHash, String engine) {
+        tracker.recordRejected(prefixHash, engine);
     }
 
     private static long rank(String key, String id) {
@@ -177,48 +193,52 @@
         return LongHashFunction.xx3().hashBytes(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private EngineChoice weigh(
+    private EngineChoice evaluate(
             Prompt prompt,
-            long beginning,
-            EngineCandidate c,
+            long prefixHash,
+            EngineCandidate candidate,
             String homeId,
-            AnswerLanes lanes,
-            BeginningSources sources,
+            LongAnswerEngines longAnswerEngines,
+            PrefixSources sources,
             long nowMillis) {
-        boolean home = homeId.equals(c.id());
-        BeginningSources.Source source = sources.best(prompt, beginning, c, home);
-        double read = BeginningSources.readMillis(source, prompt);
-        double wait = c.load().waitMillis(nowMillis);
-        double batch = c.load().total(nowMillis) * MILLIS_PER_REQUEST;
-        double memory = c.load().memoryTokens(nowMillis) + prompt.memoryTokens();
-        double over = Math.max(0, memory / (c.memoryTokens() * MEMORY_PART) - 1) * USUAL_MILLIS;
-        double unslotted = Math.max(0, c.load().total(nowMillis) + 1 - c.slots());
-        double slotWait = unslotted / c.slots() * USUAL_MILLIS;
-        double predicted = wait + slotWait + source.fetchMillis() + read + batch + over;
-        double harm = c.load().total(nowMillis) * read * HARM_PART + lanes.harmMillis(c, read, nowMillis);
-        double pauses = prompt.hasLongAnswer() ? wait * PAUSE_PART + lanes.placeMillis(c, nowMillis) : 0;
+        boolean isHome = homeId.equals(candidate.id());
+        PrefixSources.Source source = sources.cheapest(prompt, prefixHash, candidate, isHome);
+        double prefill = PrefixSources.prefillMillis(source, prompt);
+        double queueWait = candidate.load().waitMillis(nowMillis);
+        double batch = candidate.load().runningRequests(nowMillis) * MILLIS_PER_REQUEST;
+        double memory = candidate.load().memoryTokens(nowMillis) + prompt.memoryTokens();
+        double memoryWait =
+                Math.max(0, memory / (candidate.memoryTokens() * MAX_MEMORY_SHARE) - 1) * TYPICAL_REQUEST_MILLIS;
+        double requestsOverSlots = Math.max(0, candidate.load().runningRequests(nowMillis) + 1 - candidate.slots());
+        double slotWait = requestsOverSlots / candidate.slots() * TYPICAL_REQUEST_MILLIS;
+        double predicted = queueWait + slotWait + source.fetchMillis() + prefill + batch + memoryWait;
+        double interference = candidate.load().runningRequests(nowMillis) * prefill * INTERFERENCE_FACTOR
+                + longAnswerEngines.interferenceMillis(candidate, prefill, nowMillis);
+        double pauses = prompt.hasLongAnswer()
+                ? queueWait * PAUSE_FACTOR + longAnswerEngines.placementMillis(candidate, nowMillis)
+                : 0;
         double cost = predicted
-                + harm
+                + interference
                 + pauses
-                + (home ? 0 : AWAY_MILLIS)
-                + source.againMillis()
-                + (unslotted > 0 ? FULL_MILLIS : 0)
-                + (c.steeredAway() ? STEERED_MILLIS : 0)
-                + (c.replaced() ? REPLACED_MILLIS : 0);
-        boolean save = prompt.sharedTokens() > 0 && cached.saveNow(beginning, nowMillis);
-        String why = (home ? "home " : "away ") + source.name();
-        boolean ask = source.storeMillis() > 0 || BeginningSources.worthAsking(prompt);
+                + (isHome ? 0 : NOT_HOME_MILLIS)
+                + source.recomputeMillis()
+                + (requestsOverSlots > 0 ? NO_SLOT_MILLIS : 0)
+                + (candidate.weightChangePending() ? WEIGHT_CHANGE_MILLIS : 0)
+                + (candidate.superseded() ? SUPERSEDED_MILLIS : 0);
+        boolean saveToStore = prompt.sharedTokens() > 0 && tracker.shouldSave(prefixHash, nowMillis);
+        String reason = (isHome ? "home " : "away ") + source.label();
+        boolean queryStore = source.storeMillis() > 0 || PrefixSources.shouldQueryStore(prompt);
         return new EngineChoice(
-                c,
-                beginning,
-                wait + slotWait,
+                candidate,
+                prefixHash,
+                queueWait + slotWait,
                 predicted,
-                read,
+                prefill,
                 cost,
                 source.engine(),
                 source.storeMillis(),
-                ask,
-                save,
-                why);
+                queryStore,
+                saveToStore,
+                reason);
     }
 }
--- a/core/src/main/java/org/hornbeamhead/core/engine/EngineLoad.java
+++ b/core/src/main/java/org/hornbeamhead/core/engine/EngineLoad.java
@@ -8,215 +8,215 @@
 /**
  * One router's view of the work at one engine: its own requests exactly, those of other routers from their hints.
  *
- * <p>Answers the load of many routers that choose between the same engines. Failure: each router sees only what it sent
- * itself, so all of them find the same engine idle. Symptom: after a change of weights every request goes to the first
- * engine that is done, and streams there stand still for seconds. Reading is kept as the time at which the engine will
- * have read all that was sent to it, which needs no report of the engine and corrects itself with each first event.
+ * <p>Many routers choose between the same engines. If each counted its own requests only, all would see the same engine
+ * as idle: after a change of weights every request would go to the first engine that is done, and streams there would
+ * stall for seconds. The pending prefill work is kept as the time at which the engine will have done all of it, which
+ * needs no report from the engine and is corrected by each first event.
  *
  * <p>Owned by one thread.
  */
 public final class EngineLoad {
-    /** What another router said last says nothing after this time: routers repeat their hints every half a second. */
+    /** Lifetime of a hint of another router; routers repeat their hints every half a second. */
     private static final long HINT_LIFE_MILLIS = 1_500;
-    /** Work sent longer ago than this has been read, or the engine is stuck and its overdue requests tell so. */
+    /** Work sent longer ago than this is prefilled, or the engine is stuck, which its overdue requests show. */
     private static final long SENT_LIFE_MILLIS = 5_000;
 
     /**
-     * Reading is counted this much longer than it takes. An engine that reads without a break makes one token in each
-     * step of 95 ms, so that streams pause for half a second; in the time that is left over here they catch up at 4 ms
-     * a step.
+     * Factor by which prefill time is stretched. An engine that prefills without a break makes one token in each step
+     * of 95 ms, so that streams pause for half a second; in the spare time added here they catch up at 4 ms a step.
      */
-    private static final double SPACING = 1.3;
+    private static final double PREFILL_SPACING = 1.3;
 
-    private final Map<String, Work> own = new HashMap<>();
-    private final Map<String, Hint> hints = new HashMap<>();
-    private final Deque<Sent> sent = new ArrayDeque<>();
-    private double readUntil;
+    private final Map<String, Work> ownRequests = new HashMap<>();
+    private final Map<String, RouterHint> routerHints = new HashMap<>();
+    private final Deque<QueuedPrefill> queuedPrefills = new ArrayDeque<>();
+    private double prefillUntil;
 
-    private record Work(long sentAt, double expectedAt, int memoryTokens, boolean longAnswer, boolean reading) {}
+    private record Work(long sentAt, double expectedAt, int memoryTokens, boolean longAnswer, boolean prefilling) {}
 
-    private record Hint(int running, int longAnswers, int memoryTokens, long at) {}
+    private record RouterHint(int running, int longAnswers, int memoryTokens, long at) {}
 
-    private record Sent(long at, double millis) {}
+    private record QueuedPrefill(long at, double millis) {}
 
     /**
-     * Notes that this router sent a request.
+     * Records a request that this router sent.
      *
      * @param id the request
-     * @param readMillis the predicted time that the engine reads for it, in milliseconds
+     * @param prefillMillis the predicted prefill time of the request, in milliseconds
      * @param memoryTokens the tokens that the request takes in the engine's memory
      * @param longAnswer whether the answer is long enough for its pauses to matter
      * @param nowMillis the monotonic time
      */
-    public void sent(String id, double readMillis, int memoryTokens, boolean longAnswer, long nowMillis) {
-        queue(readMillis, nowMillis);
-        own.put(id, new Work(nowMillis, readUntil, memoryTokens, longAnswer, true));
+    public void recordSent(String id, double prefillMillis, int memoryTokens, boolean longAnswer, long nowMillis) {
+        enqueuePrefill(prefillMillis, nowMillis);
+        ownRequests.put(id, new Work(nowMillis, prefillUntil, memoryTokens, longAnswer, true));
     }
 
     /**
-     * Notes that another router sent a request.
+     * Records a request that another router sent.
      *
-     * @param readMillis the predicted time that the engine reads for it, in milliseconds
+     * @param prefillMillis the predicted prefill time of the request, in milliseconds
      * @param nowMillis the monotonic time
      */
-    public void hinted(double readMillis, long nowMillis) {
-        queue(readMillis, nowMillis);
+    public void recordHint(double prefillMillis, long nowMillis) {
+        enqueuePrefill(prefillMillis, nowMillis);
     }
 
-    private void queue(double readMillis, long nowMillis) {
-        double spaced = readMillis * SPACING;
-        readUntil = Math.max(readUntil, (double) nowMillis) + spaced;
-        sent.addLast(new Sent(nowMillis, spaced));
-        while (sent.peekFirst().at() < nowMillis - SENT_LIFE_MILLIS) {
-            sent.removeFirst();
+    private void enqueuePrefill(double prefillMillis, long nowMillis) {
+        double spacedMillis = prefillMillis * PREFILL_SPACING;
+        prefillUntil = Math.max(prefillUntil, (double) nowMillis) + spacedMillis;
+        queuedPrefills.addLast(new QueuedPrefill(nowMillis, spacedMillis));
+        while (queuedPrefills.peekFirst().at() < nowMillis - SENT_LIFE_MILLIS) {
+            queuedPrefills.removeFirst();
         }
     }
 
     /**
-     * Notes what another router has at the engine.
+     * Records the requests of another router at the engine.
      *
      * @param router the other router
-     * @param running its requests that have not ended
-     * @param longAnswers those of them with long answers
+     * @param running the number of its requests that have not ended
+     * @param longAnswers the number of those with long answers
      * @param memoryTokens the tokens that they take
      * @param nowMillis the monotonic time
      */
-    public void hinted(String router, int running, int longAnswers, int memoryTokens, long nowMillis) {
+    public void recordHint(String router, int running, int longAnswers, int memoryTokens, long nowMillis) {
         if (running == 0) {
-            hints.remove(router);
+            routerHints.remove(router);
         } else {
-            hints.put(router, new Hint(running, longAnswers, memoryTokens, nowMillis));
+            routerHints.put(router, new RouterHint(running, longAnswers, memoryTokens, nowMillis));
         }
     }
 
     /**
-     * Notes a request's first event: all that was sent before it is read, since engines read in the order of arrival.
+     * Records a request's first event. All work sent before the request is then done, since engines prefill in the
+     * order of arrival.
      *
      * @param id the request
      * @param nowMillis the monotonic time
      */
-    public void firstEvent(String id, long nowMillis) {
-        Work w = own.get(id);
-        if (w == null || !w.reading()) {
+    public void recordFirstEvent(String id, long nowMillis) {
+        Work work = ownRequests.get(id);
+        if (work == null || !work.prefilling()) {
             return;
         }
-        own.put(id, new Work(w.sentAt(), w.expectedAt(), w.memoryTokens(), w.longAnswer(), false));
-        double after = sent.stream()
-                .filter(s -> s.at() > w.sentAt())
-                .mapToDouble(Sent::millis)
+        ownRequests.put(id, new Work(work.sentAt(), work.expectedAt(), work.memoryTokens(), work.longAnswer(), false));
+        double remainingMillis = queuedPrefills.stream()
+                .filter(queued -> queued.at() > work.sentAt())
+                .mapToDouble(QueuedPrefill::millis)
                 .sum();
-        readUntil = Math.min(readUntil, (double) nowMillis + after);
+        prefillUntil = Math.min(prefillUntil, (double) nowMillis + remainingMillis);
     }
 
     /**
-     * Notes that a request ended, whole or not.
+     * Records that a request ended, completed or not.
      *
      * @param id the request
      */
-    public void ended(String id) {
-        own.remove(id);
+    public void recordEnded(String id) {
+        ownRequests.remove(id);
     }
 
     /**
-     * Counts this router's requests.
+     * Returns the number of this router's requests.
      *
      * @return the requests that have not ended
      */
-    public int own() {
-        return own.size();
+    public int ownRequests() {
+        return ownRequests.size();
     }
 
     /**
-     * Counts the tokens that this router's requests take.
+     * Returns the number of tokens that this router's requests take.
      *
      * @return the tokens
      */
     public int ownMemoryTokens() {
-        return own.values().stream().mapToInt(Work::memoryTokens).sum();
+        return ownRequests.values().stream().mapToInt(Work::memoryTokens).sum();
     }
 
     /**
-     * Counts this router's requests with long answers.
+     * Returns the number of this router's requests with long answers.
      *
      * @return those that have not ended
      */
     public int ownLongAnswers() {
-        return (int) own.values().stream().filter(Work::longAnswer).count();
+        return (int) ownRequests.values().stream().filter(Work::longAnswer).count();
     }
 
     /**
-     * Counts the requests with long answers of all routers.
+     * Returns the number of requests with long answers of all routers.
      *
      * @param nowMillis the monotonic time
      * @return the number as far as known
      */
     public int longAnswers(long nowMillis) {
         return ownLongAnswers()
-                + hints.values().stream()
-                        .filter(h -> fresh(h, nowMillis))
-                        .mapToInt(Hint::longAnswers)
+                + routerHints.values().stream()
+                        .filter(hint -> isCurrent(hint, nowMillis))
+                        .mapToInt(RouterHint::longAnswers)
                         .sum();
     }
 
     /**
-     * Counts the requests of all routers.
+     * Returns the number of requests of all routers.
      *
      * @param nowMillis the monotonic time
      * @return the number as far as known
      */
-    public int total(long nowMillis) {
-        return own.size()
-                + hints.values().stream()
-                        .filter(h -> fresh(h, nowMillis))
-                        .mapToInt(Hint::running)
+    public int runningRequests(long nowMillis) {
+        return ownRequests.size()
+                + routerHints.values().stream()
+                        .filter(hint -> isCurrent(hint, nowMillis))
+                        .mapToInt(RouterHint::running)
                         .sum();
     }
 
     /**
-     * Predicts how long a request that is sent now waits until it is read.
+     * Predicts how long a request that is sent now waits for its prefill.
      *
      * @param nowMillis the monotonic time
      * @return milliseconds; grows while a request's first event is overdue
      */
     public double waitMillis(long nowMillis) {
-        double overdue = own.values().stream()
-                .filter(Work::reading)
-                .mapToDouble(w -> nowMillis - w.expectedAt())
+        double overdue = ownRequests.values().stream()
+                .filter(Work::prefilling)
+                .mapToDouble(work -> nowMillis - work.expectedAt())
                 .max()
                 .orElse(0);
-        return Math.max(0, readUntil - nowMillis) + Math.max(0, overdue);
+        return Math.max(0, prefillUntil - nowMillis) + Math.max(0, overdue);
     }
 
     /**
-     * Tells how much the engine was given to read lately, whether it has read it or not.
+     * Returns the prefill work that was recently sent to the engine, whether it is done or not.
      *
-     * @param windowMillis how far back, in milliseconds
+     * @param windowMillis the length of the window, in milliseconds
      * @param nowMillis the monotonic time
-     * @return the reading that was sent, in milliseconds of the engine's work
+     * @return the prefill work, in milliseconds of the engine's time
      */
-    public double recentReadMillis(long windowMillis, long nowMillis) {
-        return sent.stream()
-                        .filter(s -> s.at() > nowMillis - windowMillis)
-                        .mapToDouble(Sent::millis)
+    public double recentPrefillMillis(long windowMillis, long nowMillis) {
+        return queuedPrefills.stream()
+                        .filter(queued -> queued.at() > nowMillis - windowMillis)
+                        .mapToDouble(QueuedPrefill::millis)
                         .sum()
-                / SPACING;
+                / PREFILL_SPACING;
     }
 
     /**
-     * Counts the tokens that requests take.
+     * Returns the number of tokens that requests take.
      *
      * @param nowMillis the monotonic time
      * @return the tokens as far as known
      */
     public int memoryTokens(long nowMillis) {
         return ownMemoryTokens()
-                + hints.values().stream()
-                        .filter(h -> fresh(h, nowMillis))
-                        .mapToInt(Hint::memoryTokens)
+                + routerHints.values().stream()
+                        .filter(hint -> isCurrent(hint, nowMillis))
+                        .mapToInt(RouterHint::memoryTokens)
                         .sum();
     }
 
-    private static boolean fresh(Hint h, long nowMillis) {
-        return nowMillis - h.at() < HINT_LIFE_MILLIS;
+    private static boolean isCurrent(RouterHint hint, long nowMillis) {
+        return nowMillis - hint.at() < HINT_LIFE_MILLIS;
     }
 }
--- a/core/src/main/java/org/hornbeamhead/core/engine/Prompt.java
+++ b/core/src/main/java/org/hornbeamhead/core/engine/Prompt.java
@@ -4,23 +4,25 @@
 import java.util.stream.Collectors;
 
 /**
- * What a request asks a model for.
+ * The input of a request to a model.
  *
  * @param model the model's name
- * @param parts the parts of the prompt in order; the last belongs to this request or its session alone
- * @param outputTokens the most tokens of the answer
+ * @param parts the parts of the prompt in order; the last belongs to this request or its session only
+ * @param maxOutputTokens the maximum length of the answer, in tokens
  */
-public record Prompt(String model, List<PromptPart> parts, int outputTokens) {
-    /** An event holds six tokens on the sheets; an answer of no more tokens than this has three events and a rest. */
+public record Prompt(String model, List<PromptPart> parts, int maxOutputTokens) {
+    /**
+     * An event holds six tokens in the deployments; an answer of at most this length has three events and a remainder.
+     */
     private static final int SHORT_OUTPUT_TOKENS = 20;
 
-    /** Copies the parts, so that the prompt cannot change. */
+    /** Copies the parts, so that the prompt is immutable. */
     public Prompt {
         parts = List.copyOf(parts);
     }
 
     /**
-     * Counts the prompt.
+     * Returns the length of the prompt.
      *
      * @return the tokens of all parts
      */
@@ -29,7 +31,7 @@
     }
 
     /**
-     * Counts what other requests share.
+     * Returns the length of the prefix that other requests share.
      *
      * @return the tokens of all parts but the last
      */
@@ -38,25 +40,25 @@
     }
 
     /**
-     * Counts what the request takes of an engine's memory.
+     * Returns the number of tokens that the request takes in an engine's memory.
      *
      * @return the tokens of the prompt and of the longest answer
      */
     public int memoryTokens() {
-        return tokens() + outputTokens;
+        return tokens() + maxOutputTokens;
     }
 
     /**
-     * Tells whether the answer is long enough for its pauses to matter.
+     * Returns whether the answer is long enough for its pauses to matter.
      *
-     * @return false for an answer of one to three events, which is over before the engine's reading can hold it up
+     * @return false for an answer of one to three events, which ends before prefill work at the engine can delay it
      */
     public boolean hasLongAnswer() {
-        return outputTokens > SHORT_OUTPUT_TOKENS;
+        return maxOutputTokens > SHORT_OUTPUT_TOKENS;
     }
 
     /**
-     * Names what other requests share.
+     * Returns a key of the prefix that other requests share.
      *
      * @return the ids of all parts but the last; empty for a prompt without shared parts
      */
--- a/core/src/main/java/org/hornbeamhead/core/entry/EntryDirectory.java
+++ b/core/src/main/java/org/hornbeamhead/core/entry/EntryDirectory.java
@@ -8,42 +8,42 @@
 import org.hornbeamhead.core.placement.ReplicaRing;
 
 /**
- * Answers which entry hosts to use. The same customer and hint meet the same router, so that one router knows best what
- * that dossier has cached where.
+ * Resolves the entry hosts for a caller. The same customer and hint lead to the same router, which then knows best
+ * where that dossier is cached.
  */
 public final class EntryDirectory {
-    private static final int NAMED = 3;
+    private static final int MAX_ADDRESSES = 3;
 
     private final Duration ttl;
     private ReplicaRing ring = ReplicaRing.of(List.of());
 
     /**
-     * Makes a directory without hosts.
+     * Creates a directory without hosts.
      *
-     * @param ttl how long an answer may be kept
+     * @param ttl how long an answer may be cached
      */
     public EntryDirectory(Duration ttl) {
         this.ttl = ttl;
     }
 
     /**
-     * Takes over the routers that serve.
+     * Replaces the set of routers that serve.
      *
      * @param addresses their addresses for callers
      */
-    public void serving(Collection<String> addresses) {
+    public void updateRouters(Collection<String> addresses) {
         ring = ring.with(addresses);
     }
 
     /**
-     * Answers.
+     * Returns the entry hosts for a customer and a hint.
      *
      * @param customer the customer's name
-     * @param hint the caller's word for the dossier; may be empty
-     * @return up to three addresses and how long they may be kept
+     * @param hint the caller's hint for the dossier; may be empty
+     * @return up to three addresses and how long they may be cached
      */
-    public EntryAnswer answer(String customer, String hint) {
+    public EntryAnswer resolve(String customer, String hint) {
         byte[] key = (customer + '\0' + hint).getBytes(StandardCharsets.UTF_8);
-        return new EntryAnswer(ring.walk(LongHashFunction.xx3().hashBytes(key), NAMED), ttl);
+        return new EntryAnswer(ring.walk(LongHashFunction.xx3().hashBytes(key), MAX_ADDRESSES), ttl);
     }
 }
--- a/core/src/main/java/org/hornbeamhead/core/pool/PoolPlan.java
+++ b/core/src/main/java/org/hornbeamhead/core/pool/PoolPlan.java
@@ -7,48 +7,48 @@
 import org.hornbeamhead.core.drain.DrainOrders;
 
 /**
- * Decides which orders bring a pool's replicas into the state that the operators state. A pure function of what is
- * seen: orders are repeated until the replicas are in that state, so that a lost order, or an old one that an engine
- * obeyed, is corrected at the next look.
+ * Decides which orders bring a pool's replicas into the state that the operators configured. A pure function of the
+ * observed state: orders are repeated until the replicas are in the configured state, so that a lost order, or an old
+ * one that an engine obeyed, is corrected at the next observation.
  */
 public final class PoolPlan {
     private PoolPlan() {}
 
     /**
-     * Decides.
+     * Decides which orders to send now.
      *
-     * @param pool what the operators state
+     * @param pool the configured state of the pool
      * @param drains the operators' drain orders; empty while they are not known, when only replicas whose host leaves
-     *     are given orders, since any other order would tell a replica to take work
-     * @param seen what is seen of the replicas
+     *     get orders, since any other order would tell a replica to accept work
+     * @param observations the observed state of the replicas
      * @param loadSlots how many loads this pool may have running
      * @param loading replicas that were ordered to load and have not finished
-     * @return the orders to give now
+     * @return the orders to send now
      */
     public static List<ReplicaOrder> decide(
             Pool pool,
             Optional<DrainOrders> drains,
-            List<ReplicaObservation> seen,
+            List<ReplicaObservation> observations,
             int loadSlots,
             List<String> loading) {
-        DrainOrders known = drains.orElse(DrainOrders.NONE);
-        List<ReplicaObservation> decidable = seen.stream()
+        DrainOrders knownDrains = drains.orElse(DrainOrders.NONE);
+        List<ReplicaObservation> actionable = observations.stream()
                 .filter(o -> o.report().isPresent())
                 .filter(o -> drains.isPresent() || o.endpoint().leaving())
                 .toList();
-        Stream<ReplicaOrder> loads = decidable.stream()
+        Stream<ReplicaOrder> loads = actionable.stream()
                 .filter(o ->
                         !hasWeights(pool, o) && !loading.contains(o.endpoint().address()))
                 .limit(Math.max(0, loadSlots - loading.size()))
-                .map(o -> order(pool, known, o, true));
-        Stream<ReplicaOrder> corrections = decidable.stream()
-                .filter(o -> hasWeights(pool, o) && isDraining(o) != wantsDrain(known, o))
-                .map(o -> order(pool, known, o, false));
+                .map(o -> order(pool, knownDrains, o, true));
+        Stream<ReplicaOrder> corrections = actionable.stream()
+                .filter(o -> hasWeights(pool, o) && isDraining(o) != shouldDrain(knownDrains, o))
+                .map(o -> order(pool, knownDrains, o, false));
         return Stream.concat(loads, corrections).toList();
     }
 
     private static ReplicaOrder order(Pool pool, DrainOrders drains, ReplicaObservation o, boolean load) {
-        return new ReplicaOrder(o.endpoint().address(), pool.weights(), wantsDrain(drains, o), load);
+        return new ReplicaOrder(o.endpoint().address(), pool.weights(), shouldDrain(drains, o), load);
     }
 
     private static boolean hasWeights(Pool pool, ReplicaObservation o) {
@@ -59,7 +59,7 @@
         return o.report().filter(r -> r.draining()).isPresent();
     }
 
-    private static boolean wantsDrain(DrainOrders drains, ReplicaObservation o) {
+    private static boolean shouldDrain(DrainOrders drains, ReplicaObservation o) {
         return o.endpoint().leaving() || drains.isDraining(o.endpoint().address());
     }
 }
--- a/core/src/main/java/org/hornbeamhead/core/pool/ReplicaObservation.java
+++ b/core/src/main/java/org/hornbeamhead/core/pool/ReplicaObservation.java
@@ -5,9 +5,9 @@
 import org.hornbeamhead.core.endpoint.LoadReport;
 
 /**
- * What a controller sees of a replica.
+ * A replica's state as observed by a controller.
  *
- * @param endpoint its line in the list of hosts
+ * @param endpoint its entry in the host list
  * @param report its load report; empty when it does not answer
  */
 public record ReplicaObservation(Endpoint endpoint, Optional<LoadReport> report) {}
--- a/core/src/main/java/org/hornbeamhead/core/prefix/PrefixChain.java
+++ b/core/src/main/java/org/hornbeamhead/core/prefix/PrefixChain.java
@@ -3,19 +3,19 @@
 import java.util.List;
 
 /**
- * The nested beginnings of one prompt, shortest first. The last level is the whole prompt.
+ * The nested prefixes of one prompt, shortest first. The last level is the whole prompt.
  *
- * @param levels at least one level, tokens never falling
+ * @param levels at least one level, with token counts that never decrease
  */
 public record PrefixChain(List<PrefixLevel> levels) {
     private static final int HOUSE = 0;
     private static final int DOSSIER = 1;
 
-    /** Copies the levels, so that the chain cannot change. */
+    /** Copies the levels, so that the chain is immutable. */
     public PrefixChain {
         levels = List.copyOf(levels);
         if (levels.isEmpty()) {
-            throw new IllegalArgumentException("a chain has at least one level");
+            throw new IllegalArgumentException("a prefix chain must have at least one level");
         }
     }
 
@@ -29,7 +29,7 @@
     }
 
     /**
-     * Returns the level that a few prompts share: the dossier or case file inside the instructions.
+     * Returns the level that a few prompts share: the dossier or case file after the instructions.
      *
      * @return the second level, or the first of a chain that has only one
      */
@@ -40,7 +40,7 @@
     /**
      * Returns the estimated length of the whole prompt.
      *
-     * @return tokens
+     * @return the number of tokens
      */
     public int tokens() {
         return levels.get(levels.size() - 1).tokens();
--- a/core/src/main/java/org/hornbeamhead/core/prefix/PrefixHasher.java
+++ b/core/src/main/java/org/hornbeamhead/core/prefix/PrefixHasher.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import net.openhft.hashing.LongHashFunction;
 
-/** Computes the chain of a prompt. A pure function: every router gives the same keys without talking. */
+/** Computes the prefix chain of a prompt. A pure function: all routers compute the same keys without communication. */
 public final class PrefixHasher {
-    /** Bytes that make up a token on average, as long as no tokenizer is at hand. */
+    /** Average number of bytes of a token, used since no tokenizer is available. */
     public static final int BYTES_PER_TOKEN = 4;
 
     private static final int PLAIN_HOUSE_BYTES = 2048;
@@ -16,9 +16,9 @@
     private PrefixHasher() {}
 
     /**
-     * Hashes a chat prompt. Each message ends a level.
+     * Computes the chain of a chat prompt. Each message ends a level.
      *
-     * @param seed what separates this prompt's cache entries from others
+     * @param seed separates this prompt's cache entries from others
      * @param messages the messages' texts with their roles, in order; at least one
      * @return the chain
      */
@@ -36,9 +36,9 @@
     }
 
     /**
-     * Hashes a plain prompt. With no message boundaries, levels end at fixed byte counts.
+     * Computes the chain of a plain prompt. Without message boundaries, levels end at fixed byte counts.
      *
-     * @param seed what separates this prompt's cache entries from others
+     * @param seed separates this prompt's cache entries from others
      * @param prompt the text
      * @return the chain
      */
@@ -46,13 +46,13 @@
         byte[] text = prompt.getBytes(StandardCharsets.UTF_8);
         List<PrefixLevel> levels = new ArrayList<>();
         long key = seedKey(seed);
-        int from = 0;
-        for (int end : new int[] {PLAIN_HOUSE_BYTES, PLAIN_DOSSIER_BYTES, text.length}) {
-            int to = Math.min(end, text.length);
-            if (to > from || levels.isEmpty()) {
-                key = LongHashFunction.xx3(key).hashBytes(text, from, to - from);
-                levels.add(new PrefixLevel(key, tokens(to)));
-                from = to;
+        int start = 0;
+        for (int limit : new int[] {PLAIN_HOUSE_BYTES, PLAIN_DOSSIER_BYTES, text.length}) {
+            int end = Math.min(limit, text.length);
+            if (end > start || levels.isEmpty()) {
+                key = LongHashFunction.xx3(key).hashBytes(text, start, end - start);
+                levels.add(new PrefixLevel(key, tokens(end)));
+                start = end;
             }
         }
         return new PrefixChain(levels);
--- a/core/src/main/java/org/hornbeamhead/core/prefix/PrefixSeed.java
+++ b/core/src/main/java/org/hornbeamhead/core/prefix/PrefixSeed.java
@@ -6,8 +6,8 @@
 import java.util.HexFormat;
 
 /**
- * All that separates one set of cache entries from another. Two requests can share a cached block only if their seeds
- * are equal.
+ * The properties that separate cache entries from one another. Two requests can share a cached block only if their
+ * seeds are equal.
  *
  * @param customer the customer's name
  * @param model the model's name
@@ -19,11 +19,12 @@
     private static final int SALT_BYTES = 16;
 
     /**
-     * Gives the salt that engines mix into their own cache keys.
+     * Returns the salt that engines add to their own cache keys.
      *
-     * <p>Failure: two customers send the same bytes, and one learns from the cached-token count or the speed that the
-     * other did, or an engine serves blocks computed under older weights. A salt made of all four parts with a
-     * cryptographic hash makes such an entry impossible to name, whatever the engine keeps.
+     * <p>Two customers may send the same bytes. Without a salt, one could learn from the cached-token count or the
+     * speed that the other did, or an engine could serve blocks that were computed with older weights. The salt is a
+     * cryptographic hash of all four components, so that no request can address such an entry, whatever the engine has
+     * cached.
      *
      * @return 32 hexadecimal digits
      */
@@ -33,7 +34,7 @@
     }
 
     /**
-     * Gives the seed for another version of the weights.
+     * Returns the seed for another version of the weights.
      *
      * @param version the version
      * @return the seed
@@ -46,7 +47,7 @@
         try {
             return MessageDigest.getInstance("SHA-256").digest(bytes);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException("the Java platform does not provide SHA-256", e);
         }
     }
 }
--- a/core/src/main/java/org/hornbeamhead/core/weights/RolloutPlan.java
+++ b/core/src/main/java/org/hornbeamhead/core/weights/RolloutPlan.java
@@ -7,110 +7,117 @@
 
 /**
  * Decides which replicas change their weights next: those with the least work first, as many at once as the others can
- * stand in for.
+ * replace.
  *
- * <p>Answers the load of weights that are named often. Answers on replaced weights are soon worth less, so that a
- * change of all replicas has to be short; but each replica that changes takes no requests, waits for its runs, and
- * comes back without cached prompts.
+ * <p>Weights may be named often. Answers on superseded weights soon lose value, so a rollout to all replicas must be
+ * short; but each replica that changes accepts no requests, waits for its running ones, and restarts with an empty
+ * cache.
  *
- * @param atOnce the loads that run beside each other without slowing down, however few replicas there are; from the
- *     deployments' sheets. So many change at a time when no replica can be spared: the shortage comes anyway, and is
- *     over sooner
- * @param boundMillis the time after which no request may begin on replaced weights, in milliseconds
+ * @param parallelLoads the number of loads that run in parallel without slowing down, however few replicas there are,
+ *     as the deployments state. This many replicas change at a time when none can be spared: the shortage is
+ *     unavoidable, and ends sooner
+ * @param boundMillis the time after which no request may start on superseded weights, in milliseconds
  */
-public record RolloutPlan(int atOnce, long boundMillis) {
+public record RolloutPlan(int parallelLoads, long boundMillis) {
     /**
-     * The part of the bound in which all replicas should have changed. The rest is kept until the end, however little
-     * time is left: for a holder that is lost, and for replicas that are dark or wait for long runs when ordered.
+     * Share of the bound in which all replicas should have changed. The rest is reserved, however little time is left,
+     * for the loss of the holder of the rollout duty and for replicas that are unreachable or wait for long requests
+     * when ordered.
      */
-    private static final double BOUND_PART = 0.8;
+    private static final double DEADLINE_SHARE = 0.8;
     /**
-     * The part of an engine's memory that may be in use while others stand in for it. Failure: half of six engines that
-     * use a third of their memory change at once. Symptom: the others read prompts between the tokens of twice as many
-     * answers, and the largest requests are late or given back. Beyond this part an engine has no time to spare,
-     * whatever its memory.
+     * Largest memory use of the remaining engines during a change. When half of six engines that use a third of their
+     * memory change at once, the others prefill between the tokens of twice as many answers, and the largest requests
+     * are late or rejected. Above this use an engine has no time to spare, whatever its memory.
      */
-    private static final double BEARABLE_PART = 0.4;
+    private static final double MAX_REMAINING_USE = 0.4;
     /**
-     * Beyond this part in use replicas are short before any of them changes. Answers that run longer because of the
-     * change itself are no shortage.
+     * Memory use above which replicas are short before any of them changes. Answers that take longer because of the
+     * change itself are not a shortage.
      */
-    private static final double SHORT_PART = 0.65;
-    /** However idle the replicas are, this part of them goes on serving: a crash beside a change must not stop all. */
-    private static final double SERVING_PART = 0.5;
+    private static final double SHORTAGE_USE = 0.65;
     /**
-     * This part of the replicas changes at once however loaded they are. Failure: 42 busy engines change two at a time,
-     * each waits seconds for its runs to end, and the bound on replaced weights comes first. Symptom: for two seconds
-     * nearly all requests are given back.
+     * Share of the replicas that keeps serving, however idle they are: a crash during a change must not stop all
+     * service.
      */
-    private static final double ANYWAY_PART = 0.29;
+    private static final double MIN_SERVING_SHARE = 0.5;
+    /**
+     * Share of the replicas that changes at once, however loaded they are. With 42 busy engines that change two at a
+     * time, each waiting seconds for its requests to end, the bound on superseded weights is reached first, and for two
+     * seconds nearly all requests are rejected.
+     */
+    private static final double MIN_CHANGING_SHARE = 0.29;
 
     /**
-     * Failure: a version is named during a change, and the replicas that have just loaded the one before, being idle,
-     * go first again. Symptom: a busy replica waits on a version until it is out of use, and requests begin there too
-     * late.
+     * Orders replicas by the time left for their version, then by load. Ordered by load alone, replicas that have just
+     * loaded the previous version are idle and would go first when another version is named during a rollout; a busy
+     * replica would keep an older version until it expires, and requests would start there too late.
      */
-    private static final Comparator<WeightsReplica> ORDER = Comparator.comparingLong(WeightsReplica::usableMillis)
-            .thenComparingDouble(WeightsReplica::used)
-            .thenComparing(WeightsReplica::id);
+    private static final Comparator<RolloutReplica> BY_URGENCY = Comparator.comparingLong(RolloutReplica::usableMillis)
+            .thenComparingDouble(RolloutReplica::memoryUse)
+            .thenComparing(RolloutReplica::id);
 
-    /** Checks the numbers. */
+    /** Validates the limits. */
     public RolloutPlan {
         if (boundMillis <= 0) {
-            throw new IllegalArgumentException("the bound on replaced weights must be positive, not " + boundMillis);
+            throw new IllegalArgumentException(
+                    "the bound on superseded weights must be positive, but is " + boundMillis);
         }
-        if (atOnce < 1) {
-            throw new IllegalArgumentException("at least one replica must change at a time, not " + atOnce);
+        if (parallelLoads < 1) {
+            throw new IllegalArgumentException(
+                    "at least one replica must load weights at a time, but the limit is " + parallelLoads);
         }
     }
 
     /**
-     * Chooses the next replicas.
+     * Selects the replicas to change next.
      *
-     * @param all the replicas that take orders, those included that are done
+     * @param replicas the replicas that accept orders, including those that are done
      * @param target the named version
-     * @param changing those that were ordered and have not finished
+     * @param changing the replicas that were ordered and have not finished
      * @param changeMillis how long a replica takes from its order to the new weights, in milliseconds
      * @return the replicas to order now, in order
      */
-    public List<WeightsReplica> next(List<WeightsReplica> all, long target, Set<String> changing, long changeMillis) {
-        return all.stream()
+    public List<RolloutReplica> next(
+            List<RolloutReplica> replicas, long target, Set<String> changing, long changeMillis) {
+        return replicas.stream()
                 .filter(r -> r.version() < target && !changing.contains(r.id()))
-                .sorted(ORDER)
-                .limit(Math.max(0, width(all, target, changeMillis) - changing.size()))
+                .sorted(BY_URGENCY)
+                .limit(Math.max(0, maxChanging(replicas, target, changeMillis) - changing.size()))
                 .toList();
     }
 
     /**
-     * How many of the replicas may change beside each other: as many as can be spared, and as few as keep to the bound
-     * when none can. When replicas are short anyway, as after a crash, as many as load beside each other without
-     * slowing down, so that the shortage is brief.
+     * Returns how many replicas may change in parallel: as many as can be spared, and when none can, as few as meet the
+     * bound. When replicas are short anyway, as after a crash, the result is at least the number of loads that run in
+     * parallel without slowing down, so that the shortage is brief.
      */
-    private int width(List<WeightsReplica> all, long target, long changeMillis) {
-        double used = all.stream().mapToDouble(WeightsReplica::used).sum();
-        int spare = all.size() - (int) Math.ceil(used / BEARABLE_PART);
-        int most = (int) Math.floor(all.size() * (1 - SERVING_PART));
-        int keepsToBound = Math.max(1, Math.min(most, inTime(all, target, changeMillis)));
-        int least = Math.max(keepsToBound, (int) Math.floor(all.size() * ANYWAY_PART));
-        if (used > all.size() * SHORT_PART) {
-            return Math.max(atOnce, least);
+    private int maxChanging(List<RolloutReplica> replicas, long target, long changeMillis) {
+        double memoryUse =
+                replicas.stream().mapToDouble(RolloutReplica::memoryUse).sum();
+        int spare = replicas.size() - (int) Math.ceil(memoryUse / MAX_REMAINING_USE);
+        int maxSpared = (int) Math.floor(replicas.size() * (1 - MIN_SERVING_SHARE));
+        int required = Math.max(1, Math.min(maxSpared, requiredByDeadline(replicas, target, changeMillis)));
+        int minChanging = Math.max(required, (int) Math.floor(replicas.size() * MIN_CHANGING_SHARE));
+        if (memoryUse > replicas.size() * SHORTAGE_USE) {
+            return Math.max(parallelLoads, minChanging);
         }
-        return Math.max(least, Math.min(most, spare));
+        return Math.max(minChanging, Math.min(maxSpared, spare));
     }
 
     /**
-     * How many must change at once so that none is on a version that is out of use. Each version has its own time left,
-     * and all replicas whose versions go out of use no later have to be done by then.
+     * Returns how many replicas must change in parallel so that none serves an expired version. Each version has its
+     * own time left, within which all replicas whose versions expire no later must be done.
      */
-    private int inTime(List<WeightsReplica> all, long target, long changeMillis) {
-        long reserve = Math.round(boundMillis * (1 - BOUND_PART));
-        List<Long> left = all.stream()
+    private int requiredByDeadline(List<RolloutReplica> replicas, long target, long changeMillis) {
+        long reserveMillis = Math.round(boundMillis * (1 - DEADLINE_SHARE));
+        List<Long> timesLeft = replicas.stream()
                 .filter(r -> r.version() < target)
-                .map(r -> Math.max(1, Math.min(boundMillis, r.usableMillis()) - reserve))
+                .map(r -> Math.max(1, Math.min(boundMillis, r.usableMillis()) - reserveMillis))
                 .sorted()
                 .toList();
-        return (int) IntStream.range(0, left.size())
-                .mapToLong(i -> Math.round((double) (i + 1) * changeMillis / left.get(i)))
+        return (int) IntStream.range(0, timesLeft.size())
+                .mapToLong(i -> Math.round((double) (i + 1) * changeMillis / timesLeft.get(i)))
                 .max()
                 .orElse(0);
     }
--- a/core/src/test/java/org/hornbeamhead/core/engine/EngineAdmissionTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/engine/EngineAdmissionTest.java
@@ -10,57 +10,60 @@
 import org.testng.annotations.Test;
 
 public class EngineAdmissionTest {
-    private static final long TARGET = 800;
-    private static final long TIME_LEFT = 5_000;
+    private static final long TARGET_MILLIS = 800;
+    private static final long TIME_LEFT_MILLIS = 5_000;
 
-    private static EngineChoice choice(double wait, double predicted) {
-        return new EngineChoice(null, 0, wait, predicted, 0, predicted, Optional.empty(), 0, false, false, "");
+    private static EngineChoice choice(double waitMillis, double predictedMillis) {
+        return new EngineChoice(
+                null, 0, waitMillis, predictedMillis, 0, predictedMillis, Optional.empty(), 0, false, false, "");
     }
 
     @DataProvider
-    public Object[][] cases() {
+    public Object[][] requests() {
         return new Object[][] {
             {"an idle engine", 0, 150, false},
             {"a very long prompt at an idle engine", 0, 1_500, false},
             {"a wait within the target", 500, 700, false},
-            {"late behind others", 700, 900, true},
+            {"late because of other requests", 700, 900, true},
             {"hopeless", 0, 6_000, true},
         };
     }
 
-    @Test(dataProvider = "cases")
-    public void refusesOnlyWhatOthersMakeLate(String what, double wait, double predicted, boolean refused) {
+    @Test(dataProvider = "requests")
+    public void rejectsOnlyRequestsDelayedByOthers(
+            String description, double waitMillis, double predictedMillis, boolean rejected) {
         assertEquals(
-                EngineAdmission.refuse(choice(wait, predicted), TARGET, TIME_LEFT)
+                EngineAdmission.retryAfterMillis(choice(waitMillis, predictedMillis), TARGET_MILLIS, TIME_LEFT_MILLIS)
                         .isPresent(),
-                refused,
-                what);
+                rejected,
+                description);
     }
 
     /**
-     * For six seconds a request of 150 ms comes every 100 ms to one engine, half as much again as it can read. Let in
-     * one after the other, all but the first few wait beyond the target. With admission most of what the engine can
-     * read is on time, and nobody waits in vain. Measured here: 9 of 60 on time without, 40 with.
+     * For six seconds a request of 150 ms arrives every 100 ms at one engine, half as much again as it can prefill. If
+     * all are accepted, all but the first few wait beyond the target: 9 of 60 are on time. With admission 40 are, since
+     * a request that would be late is rejected instead of queued.
      */
     @Test
-    public void inOverloadMostOfWhatCanBeReadIsOnTime() {
-        assertTrue(onTime(false) <= 14, "without admission: " + onTime(false));
-        assertTrue(onTime(true) >= 36, "with admission: " + onTime(true));
+    public void admissionKeepsRequestsOnTimeUnderOverload() {
+        assertTrue(countOnTime(false) <= 14, "without admission: " + countOnTime(false));
+        assertTrue(countOnTime(true) >= 36, "with admission: " + countOnTime(true));
     }
 
-    private static long onTime(boolean admit) {
-        List<Double> firstEvents = new ArrayList<>();
-        double readUntil = 0;
+    private static long countOnTime(boolean withAdmission) {
+        List<Double> firstEventMillis = new ArrayList<>();
+        double busyUntil = 0;
         for (int now = 0; now < 6_000; now += 100) {
-            double wait = Math.max(0, readUntil - now);
-            if (admit
-                    && EngineAdmission.refuse(choice(wait, wait + 150), TARGET, TIME_LEFT)
+            double waitMillis = Math.max(0, busyUntil - now);
+            if (withAdmission
+                    && EngineAdmission.retryAfterMillis(
+                                    choice(waitMillis, waitMillis + 150), TARGET_MILLIS, TIME_LEFT_MILLIS)
                             .isPresent()) {
                 continue;
             }
-            readUntil = Math.max(readUntil, now) + 150;
-            firstEvents.add(readUntil - now);
+            busyUntil = Math.max(busyUntil, now) + 150;
+            firstEventMillis.add(busyUntil - now);
         }
-        return firstEvents.stream().filter(t -> t <= TARGET).count();
+        return firstEventMillis.stream().filter(t -> t <= TARGET_MILLIS).count();
     }
 }
--- a/core/src/test/java/org/hornbeamhead/core/engine/EngineChooserTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/engine/EngineChooserTest.java
@@ -22,16 +22,16 @@
     private static final long MEMORY = 94_000;
     private static final int SLOTS = 64;
     private static final long TOKEN_BYTES = 163_840;
-    private static final CacheLinks.Store STORE =
-            new CacheLinks.Store("store", "z", CacheLinks.tokensPerMilli(230_000, TOKEN_BYTES));
-    private static final CacheLinks LINKS =
-            new CacheLinks(CacheLinks.tokensPerMilli(530_000, TOKEN_BYTES), List.of(STORE));
+    private static final KvTransferLinks.Store STORE =
+            new KvTransferLinks.Store("store", "z", KvTransferLinks.tokensPerMilli(230_000, TOKEN_BYTES));
+    private static final KvTransferLinks LINKS =
+            new KvTransferLinks(KvTransferLinks.tokensPerMilli(530_000, TOKEN_BYTES), List.of(STORE));
 
     private final Map<String, EngineLoad> loads = new HashMap<>();
     private EngineChooser chooser;
 
     @BeforeMethod
-    public void begin() {
+    public void setUp() {
         chooser = new EngineChooser(false);
         loads.clear();
         IntStream.range(0, 8).forEach(i -> loads.put("e" + i, new EngineLoad()));
@@ -44,8 +44,9 @@
                 9);
     }
 
-    private EngineCandidate candidate(String id, boolean replaced, boolean steered) {
-        return new EngineCandidate(id, "z", 1, true, loads.get(id), MEMORY, SLOTS, replaced, Long.MAX_VALUE, steered);
+    private EngineCandidate candidate(String id, boolean superseded, boolean weightChangePending) {
+        return new EngineCandidate(
+                id, "z", 1, true, loads.get(id), MEMORY, SLOTS, superseded, Long.MAX_VALUE, weightChangePending);
     }
 
     private List<EngineCandidate> candidates() {
@@ -55,134 +56,138 @@
                 .toList();
     }
 
-    private EngineChoice choose(Prompt prompt, List<EngineCandidate> from) {
-        return chooser.choose(prompt, c -> 0, from, LINKS, NOW).orElseThrow();
+    private EngineChoice choose(Prompt prompt, List<EngineCandidate> candidates) {
+        return chooser.choose(prompt, c -> 0, candidates, LINKS, NOW).orElseThrow();
     }
 
-    /** The same beginning goes to the same engine from every router, without a word between them. */
+    /** Every router must choose the same engine for the same prefix without communication. */
     @Test
-    public void allRoutersFindTheSameHome() {
+    public void allRoutersChooseTheSameHome() {
         for (int d = 0; d < 50; d++) {
             String first = choose(prompt("d" + d), candidates()).engine().id();
-            begin();
+            setUp();
             assertEquals(choose(prompt("d" + d), candidates()).engine().id(), first);
         }
     }
 
     @Test
-    public void beginningsAreSpreadOverEngines() {
-        long used = IntStream.range(0, 200)
+    public void prefixesAreDistributedOverEngines() {
+        long usedEngines = IntStream.range(0, 200)
                 .mapToObj(d -> choose(prompt("d" + d), candidates()).engine().id())
                 .distinct()
                 .count();
-        assertEquals(used, 8);
+        assertEquals(usedEngines, 8);
     }
 
     @DataProvider
     public Object[][] hindrances() {
-        return new Object[][] {{"a long wait"}, {"full memory"}, {"a change of weights"}, {"replaced weights"}};
+        return new Object[][] {{"long wait"}, {"full memory"}, {"pending weight change"}, {"superseded weights"}};
     }
 
-    /** The home of a beginning is busy, full, or about to change its weights: another engine takes the request. */
+    /**
+     * The home of a prefix has a long queue, full memory, superseded weights or a pending weight change: another engine
+     * must be chosen.
+     */
     @Test(dataProvider = "hindrances")
-    public void goesElsewhereWhenTheHomeWouldBeLate(String what) {
+    public void avoidsHomeThatWouldBeLate(String hindrance) {
         String home = choose(prompt("d"), candidates()).engine().id();
         EngineLoad load = loads.get(home);
-        if (what.equals("a long wait")) {
-            load.hinted(600, NOW);
-        } else if (what.equals("full memory")) {
-            load.hinted("other", 12, 0, 200_000, NOW);
+        if (hindrance.equals("long wait")) {
+            load.recordHint(600, NOW);
+        } else if (hindrance.equals("full memory")) {
+            load.recordHint("other", 12, 0, 200_000, NOW);
         }
-        List<EngineCandidate> from = candidates().stream()
+        List<EngineCandidate> candidates = candidates().stream()
                 .map(c -> c.id().equals(home)
-                        ? candidate(home, what.equals("replaced weights"), what.equals("a change of weights"))
+                        ? candidate(
+                                home, hindrance.equals("superseded weights"), hindrance.equals("pending weight change"))
                         : c)
                 .toList();
-        assertNotEquals(choose(prompt("d"), from).engine().id(), home, what);
+        assertNotEquals(choose(prompt("d"), candidates).engine().id(), home, hindrance);
     }
 
     /**
-     * After a change of weights one engine is done first, and every router sends to it. Each must see what the others
-     * send within the time of a datagram, or streams there stand still for seconds.
+     * After a change of weights one engine is done first and every router sends to it. Each router must count what the
+     * others send as soon as their datagram arrives; otherwise streams there stall for seconds.
      */
     @Test
-    public void hintsOfOtherRoutersCount() {
-        EngineChoice calm = choose(prompt("d"), candidates());
-        loads.get(calm.engine().id()).hinted(calm.readMillis() * 5, NOW);
+    public void hintsOfOtherRoutersAddToWait() {
+        EngineChoice first = choose(prompt("d"), candidates());
+        loads.get(first.engine().id()).recordHint(first.prefillMillis() * 5, NOW);
         EngineChoice after = choose(prompt("d"), candidates());
-        assertNotEquals(after.engine().id(), calm.engine().id());
+        assertNotEquals(after.engine().id(), first.engine().id());
     }
 
-    /** Reading a beginning again that another engine has just read is dearer than a short wait at that engine. */
+    /** Prefilling a prefix that another engine has just prefilled must cost more than a short wait at that engine. */
     @Test
-    public void prefersAShortWaitToReadingAgain() {
+    public void prefersShortWaitToRepeatedPrefill() {
         EngineChoice first = choose(prompt("d"), candidates());
-        chooser.sent(first.beginning(), first.engine().id(), 0, LINKS, 0, NOW);
-        loads.get(first.engine().id()).hinted(first.readMillis(), NOW);
+        chooser.recordSent(first.prefixHash(), first.engine().id(), 0, LINKS, 0, NOW);
+        loads.get(first.engine().id()).recordHint(first.prefillMillis(), NOW);
         assertEquals(
                 choose(prompt("d"), candidates()).engine().id(), first.engine().id());
     }
 
     /**
-     * New weights were named some seconds ago, and the only engine left has the old ones and a queue. A request sent
-     * there would begin after the old ones are out of use: it is not sent.
+     * New weights were named some seconds ago, and the only remaining engine has the old ones and a queue. A request
+     * sent there would start after the old weights expire, so it must not be sent.
      */
     @Test
-    public void doesNotSendWhatWouldBeginTooLate() {
+    public void choosesNoEngineWhenRequestWouldStartTooLate() {
         EngineLoad load = loads.get("e0");
         EngineCandidate old = new EngineCandidate("e0", "z", 1, true, load, MEMORY, SLOTS, true, 900, false);
         assertTrue(chooser.choose(prompt("d"), c -> 0, List.of(old), LINKS, NOW).isPresent());
-        load.hinted(500, NOW);
+        load.recordHint(500, NOW);
         assertTrue(chooser.choose(prompt("d"), c -> 0, List.of(old), LINKS, NOW).isEmpty());
     }
 
     /**
-     * All routers restart together and know nothing. What was in use before lies in the store: it is fetched, not read.
-     * It is saved once more all the same, by the first request that any router sends, since some of it may not be
-     * there.
+     * After all routers restart, none knows which prefixes are cached. Prefixes in use before are in the store and must
+     * be fetched, not prefilled. The first request of any router saves each of them once more, since some may be
+     * missing.
      */
     @Test
-    public void aRestartFetchesWhatWasInUse() {
-        assertEquals(choose(prompt("d"), candidates()).why(), "home read");
+    public void restartFetchesPrefixesInUse() {
+        assertEquals(choose(prompt("d"), candidates()).reason(), "home read");
         chooser = new EngineChooser(true);
         EngineChoice first = choose(prompt("d"), candidates());
-        assertEquals(first.why(), "home cached");
-        assertTrue(first.save());
-        chooser.sent(first.beginning(), first.engine().id(), 0, LINKS, 0, NOW);
-        assertFalse(choose(prompt("d"), candidates()).save());
+        assertEquals(first.reason(), "home cached");
+        assertTrue(first.saveToStore());
+        chooser.recordSent(first.prefixHash(), first.engine().id(), 0, LINKS, 0, NOW);
+        assertFalse(choose(prompt("d"), candidates()).saveToStore());
         EngineCandidate newer =
                 new EngineCandidate("e9", "z", 2, false, new EngineLoad(), MEMORY, SLOTS, false, Long.MAX_VALUE, false);
-        assertEquals(choose(prompt("d"), List.of(newer)).why(), "home read");
+        assertEquals(choose(prompt("d"), List.of(newer)).reason(), "home read");
     }
 
     /**
-     * Everybody comes back at once after a restart, and most prompts are fetched over the store's one link. Its queue
-     * counts, so that a request rather waits a little at the engine that holds its beginning.
+     * After a restart most prompts are fetched over the store's one link. The queue of that link must count, so that a
+     * request prefers a short wait at the engine that holds its prefix.
      */
     @Test
-    public void theStoresLinkIsAQueueToo() {
+    public void waitForStoreLinkAddsToCost() {
         chooser = new EngineChooser(true);
-        EngineChoice calm = choose(prompt("d"), candidates());
-        loads.get(calm.engine().id()).hinted(150, NOW);
+        EngineChoice first = choose(prompt("d"), candidates());
+        loads.get(first.engine().id()).recordHint(150, NOW);
         assertNotEquals(
-                choose(prompt("d"), candidates()).engine().id(), calm.engine().id());
-        IntStream.range(0, 20).forEach(i -> chooser.sent(i, "e1", 0, LINKS, 25, NOW));
+                choose(prompt("d"), candidates()).engine().id(), first.engine().id());
+        IntStream.range(0, 20).forEach(i -> chooser.recordSent(i, "e1", 0, LINKS, 25, NOW));
         assertEquals(
-                choose(prompt("d"), candidates()).engine().id(), calm.engine().id());
+                choose(prompt("d"), candidates()).engine().id(), first.engine().id());
     }
 
     /**
-     * New weights are named every two seconds. An engine that read a beginning has changed its weights since, and
-     * dropped it. Another that still has the old ones must not be told to fetch it there: it would find nothing and
-     * read again.
+     * New weights are named every two seconds, so an engine that prefilled a prefix may have changed its weights since
+     * and dropped it. An engine that still has the old weights must not be told to fetch the prefix from there: it
+     * would find nothing and prefill it again.
      */
     @Test
-    public void fetchesOnlyFromEnginesThatStillHoldIt() {
+    public void fetchesOnlyFromEnginesThatHoldThePrefix() {
         EngineCandidate reader = candidate("e0", false, false);
         EngineCandidate other = candidate("e1", false, false);
         EngineChoice first = choose(prompt("d"), List.of(reader));
-        chooser.sent(first.beginning(), "e0", 0, LINKS, 0, NOW - 1_000);
-        loads.get("e0").hinted(2_000, NOW);
+        chooser.recordSent(first.prefixHash(), "e0", 0, LINKS, 0, NOW - 1_000);
+        loads.get("e0").recordHint(2_000, NOW);
         assertEquals(choose(prompt("d"), List.of(reader, other)).fetchFrom(), Optional.of("e0"));
         EngineCandidate changed =
                 new EngineCandidate("e0", "z", 2, true, loads.get("e0"), MEMORY, SLOTS, false, Long.MAX_VALUE, false);
@@ -192,24 +197,24 @@
     }
 
     /**
-     * An engine with a queue has been sent a beginning a second ago and has not come to it. Another engine that fetched
-     * it now would find nothing and read it again.
+     * A prefix was sent to an engine with a queue a second ago and is not prefilled yet. Another engine that fetched it
+     * now would find nothing and prefill it again.
      */
     @Test
-    public void fetchesOnlyWhatHasBeenRead() {
+    public void fetchesOnlyPrefilledPrefixes() {
         EngineChoice first = choose(prompt("d"), List.of(candidate("e0", false, false)));
-        loads.get("e0").hinted(2_000, NOW);
-        chooser.sent(first.beginning(), "e0", 1_500, LINKS, 0, NOW - 1_000);
+        loads.get("e0").recordHint(2_000, NOW);
+        chooser.recordSent(first.prefixHash(), "e0", 1_500, LINKS, 0, NOW - 1_000);
         EngineChoice elsewhere = choose(prompt("d"), List.of(candidate("e1", false, false)));
-        assertEquals(elsewhere.why(), "home read");
+        assertEquals(elsewhere.reason(), "home read");
     }
 
     /**
-     * New weights were named long ago, and of forty engines one has them; on the others nothing may begin any more. A
-     * caller whose beginning belongs to eight of those is served all the same, by the one.
+     * New weights were named long ago, one of forty engines has them, and no request may start on the others. A caller
+     * whose prefix is assigned to eight of those must still be served, by the one.
      */
     @Test
-    public void findsTheOneEngineWhereARequestMayBegin() {
+    public void findsTheOnlyEngineWhereARequestMayStart() {
         EngineCandidate newest =
                 new EngineCandidate("new", "z", 2, true, new EngineLoad(), MEMORY, SLOTS, false, Long.MAX_VALUE, false);
         List<EngineCandidate> all = Stream.concat(
@@ -223,63 +228,68 @@
     }
 
     /**
-     * New weights are named, and the engines that long answers usually go to change theirs first. Callers of long
-     * answers are served by the engines that stay.
+     * New weights are named, and the engines that long answers usually go to change theirs first. Long answers must be
+     * served by the remaining engines.
      */
     @Test
-    public void longAnswersLeaveEnginesThatChangeTheirWeights() {
+    public void longAnswersAvoidEnginesThatChangeWeights() {
         Prompt query = new Prompt("m", List.of(new PromptPart("house", 119), new PromptPart("own", 628)), 49);
         Set<String> leaving = new HashSet<>();
         for (int i = 0; i < 6; i++) {
-            List<EngineCandidate> from = loads.keySet().stream()
+            List<EngineCandidate> candidates = loads.keySet().stream()
                     .sorted()
                     .map(id -> candidate(id, false, leaving.contains(id)))
                     .toList();
-            assertTrue(leaving.add(choose(query, from).engine().id()), "again an engine that leaves: " + leaving);
+            assertTrue(
+                    leaving.add(choose(query, candidates).engine().id()),
+                    "chosen although its weights change: " + leaving);
         }
     }
 
     /**
-     * All routers restart together, and callers of short prompts wait behind hundreds of fetches of long ones, at the
-     * store's one link. What an engine reads faster than it comes over the link is read.
+     * After a restart of all routers, short prompts would wait behind hundreds of fetches of long ones on the store's
+     * one link. A prefix that an engine prefills faster than the link delivers it must be prefilled.
      */
     @Test
-    public void readsWhatIsSoonerReadThanFetched() {
+    public void prefillsWhatIsSlowerToFetch() {
         chooser = new EngineChooser(true);
         Prompt query = new Prompt(
                 "m", List.of(new PromptPart("house", 119), new PromptPart("q", 79), new PromptPart("own", 628)), 49);
-        IntStream.range(0, 20).forEach(i -> chooser.sent(i, "e1", 0, LINKS, 25, NOW));
+        IntStream.range(0, 20).forEach(i -> chooser.recordSent(i, "e1", 0, LINKS, 25, NOW));
         List<EngineCandidate> two = List.of(candidate("e0", false, false), candidate("e1", false, false));
         String first = choose(query, two).engine().id();
-        loads.get(first).hinted(200, NOW);
+        loads.get(first).recordHint(200, NOW);
         EngineChoice away = choose(query, two);
-        assertEquals(away.why(), "away read");
-        assertFalse(away.askStore());
+        assertEquals(away.reason(), "away read");
+        assertFalse(away.queryStore());
     }
 
-    /** The engine that should have read a beginning and saved it was full: the next one must do both. */
+    /**
+     * The engine that should have prefilled and saved a prefix was full and rejected the request: the next request must
+     * save it.
+     */
     @Test
-    public void aRefusedRequestHasSavedNothing() {
+    public void rejectedRequestSavesNothing() {
         EngineChoice first = choose(prompt("d"), candidates());
-        chooser.sent(first.beginning(), first.engine().id(), 0, LINKS, 0, NOW);
-        chooser.refused(first.beginning(), first.engine().id());
-        assertTrue(choose(prompt("d"), candidates()).save());
+        chooser.recordSent(first.prefixHash(), first.engine().id(), 0, LINKS, 0, NOW);
+        chooser.recordRejected(first.prefixHash(), first.engine().id());
+        assertTrue(choose(prompt("d"), candidates()).saveToStore());
     }
 
     @Test
-    public void savesABeginningOnce() {
+    public void savesPrefixOnce() {
         EngineChoice first = choose(prompt("d"), candidates());
-        chooser.sent(first.beginning(), first.engine().id(), 0, LINKS, 0, NOW);
-        assertFalse(choose(prompt("d"), candidates()).save());
+        chooser.recordSent(first.prefixHash(), first.engine().id(), 0, LINKS, 0, NOW);
+        assertFalse(choose(prompt("d"), candidates()).saveToStore());
     }
 
     @Test
-    public void predictsWhatReadingTakes() {
-        assertTrue(ReadingCost.readMillis(0, 6_300) > 140);
-        assertTrue(ReadingCost.readMillis(0, 39_600) > 1_000);
-        assertEquals(LINKS.engineMillis(6_300, "z", "z"), 17.6, 0.1);
-        assertEquals(STORE.millis(6_300, "z"), 37.9, 0.1);
-        assertEquals(STORE.millis(6_300, "other"), 73.8, 0.1);
+    public void predictsPrefillAndTransferTimes() {
+        assertTrue(PrefillCost.prefillMillis(0, 6_300) > 140);
+        assertTrue(PrefillCost.prefillMillis(0, 39_600) > 1_000);
+        assertEquals(LINKS.engineTransferMillis(6_300, "z", "z"), 17.6, 0.1);
+        assertEquals(STORE.transferMillis(6_300, "z"), 37.9, 0.1);
+        assertEquals(STORE.transferMillis(6_300, "other"), 73.8, 0.1);
         assertTrue(choose(prompt("d"), candidates()).predictedMillis() > 200);
     }
 }
--- /dev/null
+++ b/core/src/test/java/org/hornbeamhead/core/entry/ActiveRoutersTest.java
@@ -0,0 +1,62 @@
+package org.hornbeamhead.core.entry;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+
+import java.util.List;
+import java.util.stream.IntStream;
+import org.testng.annotations.Test;
+
+public class ActiveRoutersTest {
+    @Test
+    public void fleetRateIsOwnRatePlusActivePeers() {
+        ActiveRouters routers = new ActiveRouters(() -> 63);
+        IntStream.range(0, 600).forEach(i -> routers.recordRequest(i * 10L));
+        assertEquals(routers.ownRate(6_000), 100, 10);
+        routers.recordPeer("b", 50, 6_000);
+        assertEquals(routers.fleetRate(6_000), 150, 10);
+        assertEquals(routers.fleetRate(9_500), 0, 10);
+    }
+
+    @Test
+    public void rateDropsToZeroWithoutRequests() {
+        ActiveRouters routers = new ActiveRouters(() -> 2);
+        IntStream.range(0, 100).forEach(i -> routers.recordRequest(i * 10L));
+        assertTrue(routers.ownRate(1_000) > 90);
+        assertEquals(routers.ownRate(20_000), 0.0);
+    }
+
+    /**
+     * Guards against failed requests when an engine is lost and each of the few routers with work may retry only two
+     * requests in ten seconds. With eight of 63 routers active, each has a sixteenth of the limit and its share of the
+     * half that is divided by all.
+     */
+    @Test
+    public void activeRoutersShareHalfOfLimit() {
+        ActiveRouters active = new ActiveRouters(() -> 63);
+        IntStream.range(0, 7).forEach(i -> active.recordPeer("r" + i, 60, 1_000));
+        ActiveRouters idle = new ActiveRouters(() -> 63);
+        IntStream.range(0, 8).forEach(i -> idle.recordPeer("r" + i, 60, 1_000));
+        assertEquals(active.limitShare(), 1.0 / 16 + 1.0 / 126);
+        assertTrue(8 * active.limitShare() <= 1);
+        assertTrue(idle.limitShare() < active.limitShare());
+    }
+
+    /**
+     * Guards against replicas that get many more retries than the fleet may send because partitioned routers each act
+     * as the only one. Routers that were active in the last minute must still count.
+     */
+    @Test
+    public void silentRoutersStillCountForLimits() {
+        ActiveRouters routers = new ActiveRouters(() -> 1);
+        IntStream.range(0, 7).forEach(i -> routers.recordPeer("r" + i, 60, 1_000));
+        assertEquals(routers.activePeers(30_000), List.of());
+        assertEquals(routers.limitShare(), 1.0 / 8);
+    }
+
+    /** A router that has just started knows of no other and must take at most an equal share. */
+    @Test
+    public void routerWithoutPeersTakesEqualShare() {
+        assertEquals(new ActiveRouters(() -> 63).limitShare(), 1.0 / 63);
+    }
+}
--- a/core/src/test/java/org/hornbeamhead/core/entry/StoreReadersTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/entry/StoreReadersTest.java
@@ -17,7 +17,7 @@
     private static final double LARGE = 195;
     private static final double SMALL = 28;
 
-    /** Every fifth host is large; data centres take the hosts by turns. */
+    /** Every fifth host is large; these are assigned to the data centres in turn. */
     private static List<StoreReaders.Candidate> fleet(int routers, int dataCentres) {
         return IntStream.range(0, routers)
                 .mapToObj(
@@ -38,49 +38,53 @@
     }
 
     /**
-     * The calls of all routers grow with the readers, so their number must not grow with the fleet. Small hosts have
-     * other work, and a lost data centre must leave readers elsewhere.
+     * The calls of all routers grow with the readers, so their number must not grow with the fleet. Small hosts need
+     * their capacity for requests, and the loss of a data centre must leave readers elsewhere.
      */
     @Test(dataProvider = "fleets")
-    public void aFewLargeHostsReadWhateverTheSize(int routers, int dataCentres, int readers) {
-        List<StoreReaders.Candidate> chosen = StoreReaders.choose(fleet(routers, dataCentres));
-        assertEquals(chosen.size(), readers);
-        assertTrue(chosen.stream().allMatch(r -> r.capacity() == LARGE));
-        assertEquals(dataCentres(chosen), Math.min(dataCentres, readers));
+    public void selectsFewLargeHostsAtAnyFleetSize(int routers, int dataCentres, int readers) {
+        List<StoreReaders.Candidate> selected = StoreReaders.choose(fleet(routers, dataCentres));
+        assertEquals(selected.size(), readers);
+        assertTrue(selected.stream().allMatch(r -> r.capacity() == LARGE));
+        assertEquals(dataCentres(selected), Math.min(dataCentres, readers));
     }
 
     /**
-     * Lists of routers come late to some. A router that all others take for a reader must know that it is one, however
-     * many of the others it has not heard of: else those that wait at it hear nothing.
+     * Some routers receive the list of routers late. A router that all others take for a reader must know that it is
+     * one, however many of the others are missing from its list; otherwise routers that wait for its updates receive
+     * none.
      */
     @Test
-    public void aReaderOfTheWholeFleetIsOneOfEachPartThatKnowsIt() {
+    public void fleetReaderIsReaderInEverySubset() {
         Random random = new Random(3);
-        List<StoreReaders.Candidate> all = fleet(95, 6);
-        List<StoreReaders.Candidate> readers = StoreReaders.choose(all);
+        List<StoreReaders.Candidate> routers = fleet(95, 6);
+        List<StoreReaders.Candidate> readers = StoreReaders.choose(routers);
         for (int round = 0; round < 200; round++) {
-            List<StoreReaders.Candidate> part = new ArrayList<>(all);
-            Collections.shuffle(part, random);
-            part = part.subList(0, 1 + random.nextInt(part.size()));
-            List<StoreReaders.Candidate> ofPart = StoreReaders.choose(part);
-            part.stream().filter(readers::contains).forEach(r -> assertTrue(ofPart.contains(r), r.toString()));
+            List<StoreReaders.Candidate> subset = new ArrayList<>(routers);
+            Collections.shuffle(subset, random);
+            subset = subset.subList(0, 1 + random.nextInt(subset.size()));
+            List<StoreReaders.Candidate> subsetReaders = StoreReaders.choose(subset);
+            subset.stream().filter(readers::contains).forEach(r -> assertTrue(subsetReaders.contains(r), r.toString()));
         }
     }
 
-    /** Routers turn to the readers of their own data centre first, and readers get about equally many of the others. */
+    /** Routers use the readers of their own data centre first, and readers get about equally many of the others. */
     @Test
-    public void routersSpreadOverTheReaders() {
-        List<StoreReaders.Candidate> all = fleet(90, 6);
-        List<StoreReaders.Candidate> readers = StoreReaders.choose(all);
-        Map<String, Integer> waiting = new HashMap<>();
-        for (StoreReaders.Candidate router : all) {
+    public void routersAreDistributedOverReaders() {
+        List<StoreReaders.Candidate> routers = fleet(90, 6);
+        List<StoreReaders.Candidate> readers = StoreReaders.choose(routers);
+        Map<String, Integer> routersPerReader = new HashMap<>();
+        for (StoreReaders.Candidate router : routers) {
             StoreReaders.Candidate first = StoreReaders.orderFor(readers, router.node(), router.dataCentre())
                     .get(0);
-            boolean near = readers.stream().anyMatch(r -> r.dataCentre().equals(router.dataCentre()));
-            assertTrue(!near || first.dataCentre().equals(router.dataCentre()));
-            waiting.merge(first.node(), 1, Integer::sum);
+            boolean hasLocalReader =
+                    readers.stream().anyMatch(r -> r.dataCentre().equals(router.dataCentre()));
+            assertTrue(!hasLocalReader || first.dataCentre().equals(router.dataCentre()));
+            routersPerReader.merge(first.node(), 1, Integer::sum);
         }
-        assertEquals(waiting.size(), readers.size());
-        waiting.values().forEach(n -> assertTrue(n <= 2 * all.size() / readers.size(), waiting.toString()));
+        assertEquals(routersPerReader.size(), readers.size());
+        routersPerReader
+                .values()
+                .forEach(n -> assertTrue(n <= 2 * routers.size() / readers.size(), routersPerReader.toString()));
     }
 }
--- a/core/src/test/java/org/hornbeamhead/core/pool/PoolPlanTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/pool/PoolPlanTest.java
@@ -30,17 +30,17 @@
         return new Object[][] {{0, 0, 0}, {1, 0, 1}, {2, 0, 2}, {2, 1, 1}, {2, 2, 0}, {1, 2, 0}};
     }
 
-    // Eight replicas need new weights. Never do more load at once than the fleet's permissions allow.
+    // Eight replicas need new weights, and no more of them may load at once than the fleet has load slots.
     @Test(dataProvider = "slots")
-    public void onlyAsManyLoadAsThereArePermissions(int slots, int loading, int expected) {
-        List<ReplicaObservation> seen = new ArrayList<>();
+    public void loadsAreLimitedByLoadSlots(int slots, int loadingCount, int expected) {
+        List<ReplicaObservation> observations = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            seen.add(replica("e" + i, "w1", false, false));
+            observations.add(replica("e" + i, "w1", false, false));
         }
-        List<String> running = List.of("e0", "e1").subList(0, loading);
-        List<ReplicaOrder> orders = PoolPlan.decide(POOL, Optional.of(NO_DRAINS), seen, slots, running);
+        List<String> loading = List.of("e0", "e1").subList(0, loadingCount);
+        List<ReplicaOrder> orders = PoolPlan.decide(POOL, Optional.of(NO_DRAINS), observations, slots, loading);
         assertEquals(orders.size(), expected);
-        assertTrue(orders.stream().noneMatch(o -> running.contains(o.address())));
+        assertTrue(orders.stream().noneMatch(o -> loading.contains(o.address())));
     }
 
     @DataProvider
@@ -54,13 +54,15 @@
         };
     }
 
-    // An engine that ignores fencing numbers obeyed an old order. The next look shows the wrong state, and it is
-    // undone.
+    // An engine that ignores fencing numbers may have obeyed an old order. The wrong drain state must be corrected at
+    // the
+    // next observation.
     @Test(dataProvider = "drains")
-    public void aWrongStateIsCorrected(ReplicaObservation seen, boolean drained, Optional<Boolean> ordered) {
+    public void wrongDrainStateIsCorrected(
+            ReplicaObservation observation, boolean drained, Optional<Boolean> expected) {
         DrainOrders drains = drained ? NO_DRAINS.with(new DrainOrder("a", "x", 0, "r", "")) : NO_DRAINS;
-        List<ReplicaOrder> orders = PoolPlan.decide(POOL, Optional.of(drains), List.of(seen), 2, List.of());
-        assertEquals(orders.stream().map(ReplicaOrder::draining).findFirst(), ordered);
+        List<ReplicaOrder> orders = PoolPlan.decide(POOL, Optional.of(drains), List.of(observation), 2, List.of());
+        assertEquals(orders.stream().map(ReplicaOrder::draining).findFirst(), expected);
     }
 
     @DataProvider
@@ -75,18 +77,18 @@
         };
     }
 
-    // While the drain orders are not known, no order tells a replica to take work, be it for its weights.
+    // While the drain orders are not known, no order may tell a replica to accept work, not even to change its weights.
     @Test(dataProvider = "withoutDrains")
-    public void unknownDrainsEndNone(ReplicaObservation seen, List<Boolean> ordered) {
-        List<ReplicaOrder> orders = PoolPlan.decide(POOL, Optional.empty(), List.of(seen), 2, List.of());
-        assertEquals(orders.stream().map(ReplicaOrder::draining).toList(), ordered);
+    public void unknownDrainOrdersEndNoDrain(ReplicaObservation observation, List<Boolean> expected) {
+        List<ReplicaOrder> orders = PoolPlan.decide(POOL, Optional.empty(), List.of(observation), 2, List.of());
+        assertEquals(orders.stream().map(ReplicaOrder::draining).toList(), expected);
     }
 
     @Test
-    public void aSilentReplicaGetsNoOrder() {
-        ReplicaObservation silent =
+    public void unresponsiveReplicaGetsNoOrder() {
+        ReplicaObservation unresponsive =
                 new ReplicaObservation(new Endpoint(EndpointKind.ENGINE, "p", "a", "", "dc", false), Optional.empty());
-        assertTrue(PoolPlan.decide(POOL, Optional.of(NO_DRAINS), List.of(silent), 2, List.of())
+        assertTrue(PoolPlan.decide(POOL, Optional.of(NO_DRAINS), List.of(unresponsive), 2, List.of())
                 .isEmpty());
     }
 }
--- a/core/src/test/java/org/hornbeamhead/core/weights/RolloutPlanTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/weights/RolloutPlanTest.java
@@ -12,9 +12,9 @@
 public class RolloutPlanTest {
     private final RolloutPlan plan = new RolloutPlan(2, 12_000);
 
-    private static List<WeightsReplica> replicas(int count, double used) {
+    private static List<RolloutReplica> replicas(int count, double memoryUse) {
         return IntStream.range(0, count)
-                .mapToObj(i -> replica("r" + i, 1, used))
+                .mapToObj(i -> replica("r" + i, 1, memoryUse))
                 .toList();
     }
 
@@ -23,8 +23,8 @@
         return 12_000 + 3_000 * (version - 1);
     }
 
-    private static WeightsReplica replica(String id, long version, double used) {
-        return new WeightsReplica(id, version, usableMillis(version), used);
+    private static RolloutReplica replica(String id, long version, double memoryUse) {
+        return new RolloutReplica(id, version, usableMillis(version), memoryUse);
     }
 
     @DataProvider
@@ -47,14 +47,14 @@
     }
 
     /**
-     * Callers are given back for seconds, since a change of 42 loaded engines takes longer than replaced weights may be
-     * used. Idle replicas change half at a time; loaded ones as many at once as don't slow one another. Six that can
-     * spare one of them change one by one, since with two fewer their answers would take seconds; six that are short
-     * anyway change two at a time, so that the shortage is brief.
+     * Guards against requests that are rejected for seconds because a change of 42 loaded engines takes longer than
+     * superseded weights may be used. Half of the idle replicas change at a time; of loaded ones, as many as do not
+     * slow one another. Six replicas that can spare one change one by one, since with two fewer their answers would
+     * take seconds; six that are short anyway change two at a time, so that the shortage is brief.
      */
     @Test(dataProvider = "loads")
-    public void changesAsManyAsTheOthersBear(int count, double used, int expected) {
-        assertEquals(plan.next(replicas(count, used), 2, Set.of(), 1_300).size(), expected);
+    public void numberOfParallelChangesDependsOnLoad(int count, double memoryUse, int expected) {
+        assertEquals(plan.next(replicas(count, memoryUse), 2, Set.of(), 1_300).size(), expected);
     }
 
     @DataProvider
@@ -65,42 +65,42 @@
     }
 
     /**
-     * Six busy engines that change one by one are not done when replaced weights go out of use, and callers are given
-     * back. As many change at once as the time that a change was seen to take asks for.
+     * Six busy engines that change one by one are not done when superseded weights expire, and requests are rejected.
+     * As many must change at once as the observed duration of a change requires.
      */
     @Test(dataProvider = "bounds")
-    public void keepsToTheBound(long bound, long changeMillis, int expected) {
+    public void meetsTheBound(long boundMillis, long changeMillis, int expected) {
         assertEquals(
-                new RolloutPlan(2, bound)
+                new RolloutPlan(2, boundMillis)
                         .next(replicas(6, 0.3), 2, Set.of(), changeMillis)
                         .size(),
                 expected);
     }
 
     @Test
-    public void countsThoseThatAreChanging() {
+    public void countsReplicasThatAreChanging() {
         assertEquals(
                 plan.next(replicas(8, 0), 2, Set.of("r0", "r1", "r2"), 1_300).size(), 1);
         assertEquals(plan.next(replicas(8, 0.9), 2, Set.of("r0", "r1"), 1_300).size(), 0);
     }
 
     @Test
-    public void takesTheLeastBusyFirstAndLeavesThoseThatAreDone() {
-        List<WeightsReplica> all = List.of(replica("a", 1, 0.9), replica("b", 2, 0), replica("c", 1, 0.1));
-        assertEquals(plan.next(all, 2, Set.of(), 1_300).get(0).id(), "c");
-        assertEquals(plan.next(all, 1, Set.of(), 1_300), List.of());
+    public void ordersLeastBusyFirstAndSkipsDone() {
+        List<RolloutReplica> replicas = List.of(replica("a", 1, 0.9), replica("b", 2, 0), replica("c", 1, 0.1));
+        assertEquals(plan.next(replicas, 2, Set.of(), 1_300).get(0).id(), "c");
+        assertEquals(plan.next(replicas, 1, Set.of(), 1_300), List.of());
         assertThrows(IllegalArgumentException.class, () -> new RolloutPlan(0, 12_000));
         assertThrows(IllegalArgumentException.class, () -> new RolloutPlan(2, 0));
     }
 
     /**
-     * Callers' requests begin on weights that are out of use. Version 4 is named while version 3 is brought to the
-     * replicas; those that have loaded it are idle, those still on version 2 are busy. Version 2 goes out of use first,
-     * so that those on it are ordered first, however busy, and the least busy of them before the others.
+     * Guards against requests that start on expired weights. Version 4 is named during the rollout of version 3:
+     * replicas on version 3 are idle, those on version 2 are busy. Version 2 expires first, so its replicas must be
+     * ordered before the others, however busy, and the least busy of them first.
      */
     @Test
-    public void takesThoseFirstWhoseVersionGoesOutOfUseFirst() {
-        List<WeightsReplica> all = List.of(
+    public void ordersEarliestExpiringVersionFirst() {
+        List<RolloutReplica> replicas = List.of(
                 replica("a", 3, 0),
                 replica("b", 3, 0.1),
                 replica("c", 2, 0.3),
@@ -109,8 +109,8 @@
                 replica("f", 3, 0),
                 replica("g", 3, 0),
                 replica("h", 3, 0));
-        List<String> order = plan.next(all, 4, Set.of(), 1_300).stream()
-                .map(WeightsReplica::id)
+        List<String> order = plan.next(replicas, 4, Set.of(), 1_300).stream()
+                .map(RolloutReplica::id)
                 .toList();
         assertEquals(order, List.of("e", "c", "a", "d"));
     }
--- a/fuzz/src/test/java/org/hornbeamhead/fuzz/FuzzTargets.java
+++ b/fuzz/src/test/java/org/hornbeamhead/fuzz/FuzzTargets.java
@@ -12,7 +12,7 @@
 import org.hornbeamhead.core.crash.CrashHistory;
 import org.hornbeamhead.core.crash.CrashNews;
 import org.hornbeamhead.core.drain.DrainOrders;
-import org.hornbeamhead.core.engine.WorkHint;
+import org.hornbeamhead.core.engine.LoadHint;
 import org.hornbeamhead.core.ticket.Ticket;
 import org.hornbeamhead.core.time.ManualClock;
 import org.hornbeamhead.gateway.state.PeerReading;
@@ -40,8 +40,10 @@
             target(
                     "HINTS",
                     FuzzTargets::hints,
-                    latin(new WorkHint(
-                                    7, List.of(new WorkHint.Total(1, 2, 3, 4)), List.of(new WorkHint.Send(5, 6, 7, 8)))
+                    latin(new LoadHint(
+                                    7,
+                                    List.of(new LoadHint.ReplicaLoad(1, 2, 3, 4)),
+                                    List.of(new LoadHint.SentRequest(5, 6, 7, 8)))
                             .encode())),
             // What routers tell one another of crashes.
             target("CRASH_NEWS", FuzzTargets::crashNews, "\u00c5\0\1\0\0\0\0\0\0\0\7\1\0\0\0\5\0\0\0\u0009\0\u0008"),
@@ -100,7 +102,7 @@
     }
 
     private static void hints(byte[] bytes) {
-        WorkHint.decode(bytes).ifPresent(h -> assertEquals(WorkHint.decode(h.encode()), Optional.of(h)));
+        LoadHint.decode(bytes).ifPresent(h -> assertEquals(LoadHint.decode(h.encode()), Optional.of(h)));
     }
 
     private static void crashNews(byte[] bytes) {
--- a/gateway/src/main/java/org/hornbeamhead/gateway/RouterProcess.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/RouterProcess.java
@@ -12,7 +12,7 @@
 import java.util.Random;
 import org.hornbeamhead.core.crash.CrashArchive;
 import org.hornbeamhead.core.crash.CrashGossip;
-import org.hornbeamhead.core.entry.WorkingRouters;
+import org.hornbeamhead.core.entry.ActiveRouters;
 import org.hornbeamhead.core.http.WholeRequest;
 import org.hornbeamhead.core.mirror.StoreItem;
 import org.hornbeamhead.core.mirror.StoreMirror;
@@ -64,7 +64,7 @@
     private final WeightsView weights;
     private final WeightsListener names;
     private final RouterList routers;
-    private final WorkingRouters working;
+    private final ActiveRouters working;
     private final RouterPresence presence;
     private final SuspensionWatch suspensions;
     private final StoreView view;
@@ -105,7 +105,7 @@
         weights = new WeightsView(settings.weightsBound().toMillis());
         names = new WeightsListener(clock, mirror, state, weights);
         routers = new RouterList(settings.self(), this::ready, clock);
-        working = new WorkingRouters(routers::count);
+        working = new ActiveRouters(routers::count);
         presence = new RouterPresence(reactor, ports.store(), settings.self());
         suspensions = new SuspensionWatch(daemon.timers(), clock, this::stoodStill);
         view = new StoreView(new StoreView.Parts(
@@ -191,7 +191,7 @@
     }
 
     private List<String> workingHints() {
-        return working.others(clock.monotonicMillis());
+        return working.activePeers(clock.monotonicMillis());
     }
 
     /**
@@ -351,6 +351,6 @@
      * @return the addresses
      */
     public List<String> callerAddresses(int limit) {
-        return routers.callerAddresses(limit, working.allRate(clock.monotonicMillis()));
+        return routers.callerAddresses(limit, working.fleetRate(clock.monotonicMillis()));
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Attempt.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Attempt.java
@@ -209,7 +209,7 @@
     }
 
     private Promise<Void> relay(List<EventCutter.Event> events) {
-        replica.load().firstEvent(request.id(), now());
+        replica.load().recordFirstEvent(request.id(), now());
         armSilence(request.patience().pauseMillis());
         ByteArrayOutputStream fresh = new ByteArrayOutputStream();
         events.stream().filter(e -> exchange.progress().advance(e.id())).forEach(e -> fresh.writeBytes(e.bytes()));
@@ -303,7 +303,7 @@
     private void stop() {
         over = true;
         timers.stop();
-        replica.load().ended(request.id());
+        replica.load().recordEnded(request.id());
     }
 
     private long now() {
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/AttemptRequest.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/AttemptRequest.java
@@ -41,8 +41,8 @@
         Optional<Prompt> prompt = exchange.subject().request().prompt();
         int memory = prompt.map(Prompt::memoryTokens).orElse(0);
         boolean longAnswer = prompt.map(Prompt::hasLongAnswer).orElse(false);
-        double read = target.choice().map(EngineChoice::readMillis).orElse(0.0);
-        replica.load().sent(id(), read, memory, longAnswer, now());
+        double read = target.choice().map(EngineChoice::prefillMillis).orElse(0.0);
+        replica.load().recordSent(id(), read, memory, longAnswer, now());
         target.choice().ifPresent(c -> exchange.dispatcher().sentToEngine(replica, c));
     }
 
@@ -68,7 +68,7 @@
     private String inputs(SendOrder order) {
         BeginLimits limits = exchange.dispatcher().beginLimits();
         return "predictedMillis=" + Math.round(target.predictedMillis())
-                + " load=" + replica.load().total(now())
+                + " load=" + replica.load().runningRequests(now())
                 + " millisLeft=" + order.timeLeftMillis()
                 + order.engine().map(e -> " salt=" + e.salt()).orElse("")
                 + weights()
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Dispatcher.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Dispatcher.java
@@ -10,8 +10,8 @@
 import java.util.Optional;
 import java.util.random.RandomGenerator;
 import org.hornbeamhead.core.engine.EngineChoice;
-import org.hornbeamhead.core.engine.WorkHint;
-import org.hornbeamhead.core.entry.WorkingRouters;
+import org.hornbeamhead.core.engine.LoadHint;
+import org.hornbeamhead.core.entry.ActiveRouters;
 import org.hornbeamhead.core.forward.FinalAnswer;
 import org.hornbeamhead.core.http.Headers;
 import org.hornbeamhead.core.http.WholeRequest;
@@ -61,7 +61,7 @@
     private final EarlyRequests early;
     private final BeginLimits beginLimits;
     private final BudgetLimits budgetLimits;
-    private final WorkingRouters routers;
+    private final ActiveRouters routers;
     private final Quarantine quarantine;
     private final RequestsUnderWay underWay = new RequestsUnderWay();
     private WorkHints hints;
@@ -105,7 +105,7 @@
             String dataCentre,
             boolean inherits,
             BudgetLimits budgetLimits,
-            WorkingRouters routers,
+            ActiveRouters routers,
             Quarantine quarantine) {}
 
     /**
@@ -189,7 +189,7 @@
             return;
         }
         budget(name).requested(clock.monotonicMillis());
-        routers.requested(clock.monotonicMillis());
+        routers.recordRequest(clock.monotonicMillis());
         new Exchange(this, new Subject(asked, service.get()), answer).start();
     }
 
@@ -208,15 +208,15 @@
     }
 
     boolean takeRepeat(String service) {
-        return budget(service).tryTake(clock.monotonicMillis(), routers.shareOfLimits());
+        return budget(service).tryTake(clock.monotonicMillis(), routers.limitShare());
     }
 
     boolean mayRepeat(String service) {
-        return budget(service).canTake(clock.monotonicMillis(), routers.shareOfLimits());
+        return budget(service).canTake(clock.monotonicMillis(), routers.limitShare());
     }
 
     void sentToEngine(LiveReplica replica, EngineChoice choice) {
-        noteSent(replica, choice.beginning(), choice.storeMillis());
+        noteSent(replica, choice.prefixHash(), choice.storeMillis());
         hints.sent(replica, choice);
     }
 
@@ -226,8 +226,8 @@
      * @param replica the engine
      * @param sent what it was sent
      */
-    public void hinted(LiveReplica replica, WorkHint.Send sent) {
-        noteSent(replica, sent.beginning(), sent.storeMillis());
+    public void hinted(LiveReplica replica, LoadHint.SentRequest sent) {
+        noteSent(replica, sent.prefixHash(), sent.storeMillis());
     }
 
     private void noteSent(LiveReplica replica, long beginning, double storeMillis) {
@@ -309,6 +309,6 @@
 
     /** This router's part of a limit that holds for all of them. */
     int part(int limit) {
-        return (int) (limit * routers.shareOfLimits());
+        return (int) (limit * routers.limitShare());
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Exchange.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Exchange.java
@@ -125,7 +125,8 @@
 
     private OptionalLong admission(Target target) {
         return target.choice()
-                .map(c -> EngineAdmission.refuse(c, subject.route().limits().targetMillis(), timeLeft()))
+                .map(c -> EngineAdmission.retryAfterMillis(
+                        c, subject.route().limits().targetMillis(), timeLeft()))
                 .orElse(OptionalLong.empty());
     }
 
@@ -306,8 +307,8 @@
     private String course() {
         String tokens = subject.request()
                 .prompt()
-                .map(p ->
-                        " tokens=" + p.sharedTokens() + "+" + (p.tokens() - p.sharedTokens()) + ">" + p.outputTokens())
+                .map(p -> " tokens=" + p.sharedTokens() + "+" + (p.tokens() - p.sharedTokens()) + ">"
+                        + p.maxOutputTokens())
                 .orElse("");
         return "route=" + subject.route().name() + tokens + times + " millis="
                 + sinceArrival().toMillis() + " tried=" + tried;
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/TargetPicker.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/TargetPicker.java
@@ -6,10 +6,10 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.hornbeamhead.core.engine.CacheLinks;
 import org.hornbeamhead.core.engine.EngineCandidate;
 import org.hornbeamhead.core.engine.EngineChoice;
 import org.hornbeamhead.core.engine.EngineChooser;
+import org.hornbeamhead.core.engine.KvTransferLinks;
 import org.hornbeamhead.core.engine.Prompt;
 import org.hornbeamhead.core.route.EngineSpec;
 import org.hornbeamhead.core.route.KeyOwner;
@@ -68,7 +68,7 @@
     private Optional<Target> plain(List<LiveReplica> usable) {
         long now = clock.monotonicMillis();
         return usable.stream()
-                .min(Comparator.comparingInt((LiveReplica r) -> r.load().total(now))
+                .min(Comparator.comparingInt((LiveReplica r) -> r.load().runningRequests(now))
                         .thenComparing(r -> !r.entry().dataCentre().equals(dataCentre))
                         .thenComparingInt(r -> r.connections().open()))
                 .map(r -> new Target(r, Optional.empty(), Optional.empty(), "least load"));
@@ -84,7 +84,7 @@
         Map<String, LiveReplica> byId = new HashMap<>();
         usable.forEach(r -> byId.put(r.entry().run(), r));
         EngineSpec spec = service.engine().orElseThrow();
-        CacheLinks links = links(spec, config);
+        KvTransferLinks links = links(spec, config);
         List<EngineCandidate> candidates = usable.stream()
                 .map(r -> new EngineCandidate(
                         r.entry().run(),
@@ -105,14 +105,14 @@
                         links, prompt, wall, choice, byId.get(choice.engine().id())));
     }
 
-    private static CacheLinks links(EngineSpec engine, RoutingConfig config) {
-        return new CacheLinks(
-                CacheLinks.tokensPerMilli(engine.linkMbps(), engine.tokenBytes()),
+    private static KvTransferLinks links(EngineSpec engine, RoutingConfig config) {
+        return new KvTransferLinks(
+                KvTransferLinks.tokensPerMilli(engine.linkMbps(), engine.tokenBytes()),
                 config.promptStores().stream()
-                        .map(s -> new CacheLinks.Store(
+                        .map(s -> new KvTransferLinks.Store(
                                 s.address(),
                                 s.dataCentre(),
-                                CacheLinks.tokensPerMilli(s.linkMbps(), engine.tokenBytes())))
+                                KvTransferLinks.tokensPerMilli(s.linkMbps(), engine.tokenBytes())))
                         .toList());
     }
 
@@ -128,7 +128,7 @@
                 .flatMap(ServiceSpec::engine)
                 .map(engine -> links(engine, config))
                 .ifPresent(links -> chooser(service)
-                        .sent(
+                        .recordSent(
                                 beginning,
                                 replica.entry().run(),
                                 replica.load().waitMillis(now),
@@ -140,7 +140,7 @@
     /** An engine did not take a request of this router. */
     void refused(LiveReplica replica, EngineChoice choice) {
         chooser(replica.entry().service())
-                .refused(choice.beginning(), replica.entry().run());
+                .recordRejected(choice.prefixHash(), replica.entry().run());
     }
 
     /** Parts that were read for other weights, or for an isolated customer, are never found under this text. */
@@ -148,10 +148,10 @@
         return prompt.model() + '.' + version + (wall.isEmpty() ? "" : '.' + wall);
     }
 
-    private Target target(CacheLinks links, Prompt prompt, String wall, EngineChoice choice, LiveReplica replica) {
+    private Target target(KvTransferLinks links, Prompt prompt, String wall, EngineChoice choice, LiveReplica replica) {
         long version = choice.engine().weights();
         String salt = salt(prompt, wall, version);
-        Optional<String> store = links.store(choice.beginning()).map(CacheLinks.Store::address);
+        Optional<String> store = links.storeFor(choice.prefixHash()).map(KvTransferLinks.Store::address);
         Optional<String> from =
                 choice.fetchFrom().flatMap(registry::get).map(r -> r.entry().address());
         return new Target(
@@ -159,9 +159,9 @@
                 Optional.of(new SendOrder.EngineOrder(
                         salt,
                         version,
-                        from.or(() -> store.filter(s -> choice.askStore())),
-                        store.filter(s -> choice.save()))),
+                        from.or(() -> store.filter(s -> choice.queryStore())),
+                        store.filter(s -> choice.saveToStore()))),
                 Optional.of(choice),
-                choice.why());
+                choice.reason());
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/duty/WeightsRollout.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/duty/WeightsRollout.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.stream.Collectors;
-import org.hornbeamhead.core.weights.WeightsReplica;
+import org.hornbeamhead.core.weights.RolloutReplica;
 import org.hornbeamhead.gateway.replica.LiveReplica;
 
 /** The changes that the holder of the duty has begun: which come next, and which have ended. */
@@ -127,7 +127,7 @@
     private void begin() {
         List<String> chosen = new ArrayList<>();
         parts.weights().all().forEach((model, version) -> {
-            List<WeightsReplica> all = serving(model).stream()
+            List<RolloutReplica> all = serving(model).stream()
                     .filter(r -> !silent(r.entry().run()))
                     .map(r -> seen(r, model))
                     .toList();
@@ -144,9 +144,9 @@
         }
     }
 
-    private WeightsReplica seen(LiveReplica replica, String model) {
+    private RolloutReplica seen(LiveReplica replica, String model) {
         long version = replica.weights(model);
-        return new WeightsReplica(
+        return new RolloutReplica(
                 replica.entry().run(), version, parts.weights().usableMillis(model, version, now()), used(replica));
     }
 
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/RouterList.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/RouterList.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
 import java.util.stream.Stream;
-import org.hornbeamhead.core.entry.EntrySpread;
+import org.hornbeamhead.core.entry.EntrySelection;
 import org.hornbeamhead.core.entry.StoreReaders;
 import org.hornbeamhead.core.mirror.StoreItem;
 import org.hornbeamhead.core.time.Clock;
@@ -70,20 +70,20 @@
      * @return the addresses for callers; this router's own when no other is known
      */
     public List<String> callerAddresses(int limit, double requestsPerSecond) {
-        List<EntrySpread.Candidate> known = new ArrayList<>();
+        List<EntrySelection.Candidate> known = new ArrayList<>();
         others.values().forEach(e -> known.add(candidate(e)));
         if (selfServes.getAsBoolean() || known.isEmpty()) {
             known.add(candidate(self));
         }
-        return EntrySpread.choose(known, requestsPerSecond).stream()
+        return EntrySelection.choose(known, requestsPerSecond).stream()
                 .distinct()
                 .limit(limit)
                 .toList();
     }
 
-    private EntrySpread.Candidate candidate(RouterEntry e) {
+    private EntrySelection.Candidate candidate(RouterEntry e) {
         long up = clock.wallMillis() - e.startedWallMillis();
-        return new EntrySpread.Candidate(e.caller(), e.dataCentre(), e.capacity(), up);
+        return new EntrySelection.Candidate(e.caller(), e.dataCentre(), e.capacity(), up);
     }
 
     /**
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/WorkHints.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/WorkHints.java
@@ -9,8 +9,8 @@
 import java.util.function.BiConsumer;
 import java.util.function.Supplier;
 import org.hornbeamhead.core.engine.EngineChoice;
-import org.hornbeamhead.core.engine.WorkHint;
-import org.hornbeamhead.core.entry.WorkingRouters;
+import org.hornbeamhead.core.engine.LoadHint;
+import org.hornbeamhead.core.entry.ActiveRouters;
 import org.hornbeamhead.core.time.Clock;
 import org.hornbeamhead.gateway.replica.LiveReplica;
 import org.hornbeamhead.gateway.replica.ReplicaRegistry;
@@ -37,11 +37,11 @@
     private final Clock clock;
     private final ReplicaRegistry registry;
     private final Supplier<List<String>> peers;
-    private final WorkingRouters working;
+    private final ActiveRouters working;
     private final PeerDatagrams datagrams;
-    private final BiConsumer<LiveReplica, WorkHint.Send> onSend;
-    private final List<WorkHint.Send> sends = new ArrayList<>();
-    private List<WorkHint.Total> told = List.of();
+    private final BiConsumer<LiveReplica, LoadHint.SentRequest> onSend;
+    private final List<LoadHint.SentRequest> sends = new ArrayList<>();
+    private List<LoadHint.ReplicaLoad> told = List.of();
     private long toldAllAt;
     private ScheduledRunnable nextFlush;
     private boolean idle;
@@ -62,9 +62,9 @@
             Clock clock,
             ReplicaRegistry registry,
             Supplier<List<String>> peers,
-            WorkingRouters working,
+            ActiveRouters working,
             PeerDatagrams datagrams,
-            BiConsumer<LiveReplica, WorkHint.Send> onSend) {
+            BiConsumer<LiveReplica, LoadHint.SentRequest> onSend) {
         this.reactor = reactor;
         this.clock = clock;
         this.registry = registry;
@@ -76,7 +76,7 @@
 
     /** Starts to tell and to take hints. */
     public void start() {
-        datagrams.listen((from, bytes) -> WorkHint.decode(bytes).ifPresent(hint -> take(from, hint)));
+        datagrams.listen((from, bytes) -> LoadHint.decode(bytes).ifPresent(hint -> take(from, hint)));
         flush();
     }
 
@@ -87,9 +87,9 @@
      * @param choice how it was chosen
      */
     public void sent(LiveReplica replica, EngineChoice choice) {
-        int read = (int) Math.round(choice.readMillis());
+        int read = (int) Math.round(choice.prefillMillis());
         int store = (int) Math.round(choice.storeMillis());
-        sends.add(new WorkHint.Send(replica.hash(), choice.beginning(), read, store));
+        sends.add(new LoadHint.SentRequest(replica.hash(), choice.prefixHash(), read, store));
         if (idle) {
             nextFlush.cancel();
             flushIn(FLUSH_MILLIS);
@@ -103,26 +103,26 @@
 
     private void flush() {
         long now = clock.monotonicMillis();
-        List<WorkHint.Total> totals = registry.all().stream()
-                .filter(r -> r.load().own() > 0)
-                .map(r -> new WorkHint.Total(
+        List<LoadHint.ReplicaLoad> totals = registry.all().stream()
+                .filter(r -> r.load().ownRequests() > 0)
+                .map(r -> new LoadHint.ReplicaLoad(
                         r.hash(),
-                        r.load().own(),
+                        r.load().ownRequests(),
                         r.load().ownLongAnswers(),
                         r.load().ownMemoryTokens()))
                 .toList();
         int rate = (int) Math.ceil(working.ownRate(now));
         boolean news = !sends.isEmpty() || !totals.equals(told);
         boolean repeat = (rate > 0 || !totals.isEmpty()) && now - toldAllAt > REPEAT_MILLIS;
-        Set<String> near = Set.copyOf(working.others(now));
+        Set<String> near = Set.copyOf(working.activePeers(now));
         if (news || repeat) {
-            send(new WorkHint(rate, withEnded(totals), List.copyOf(sends)), near);
+            send(new LoadHint(rate, withEnded(totals), List.copyOf(sends)), near);
             told = totals;
         }
         if (repeat) {
             Set<String> far = new HashSet<>(peers.get());
             far.removeAll(near);
-            send(new WorkHint(rate, totals, List.of()), far);
+            send(new LoadHint(rate, totals, List.of()), far);
             toldAllAt = now;
         }
         sends.clear();
@@ -130,29 +130,29 @@
         flushIn(totals.isEmpty() && rate == 0 ? REPEAT_MILLIS : FLUSH_MILLIS * slower);
     }
 
-    private void send(WorkHint hint, Set<String> to) {
+    private void send(LoadHint hint, Set<String> to) {
         byte[] datagram = hint.encode();
         to.stream().limit(MAX_PEERS).forEach(p -> datagrams.send(p, datagram));
     }
 
     /** Replicas where the router had work, and has none now, are told with zero. */
-    private List<WorkHint.Total> withEnded(List<WorkHint.Total> totals) {
-        List<WorkHint.Total> all = new ArrayList<>(totals);
+    private List<LoadHint.ReplicaLoad> withEnded(List<LoadHint.ReplicaLoad> totals) {
+        List<LoadHint.ReplicaLoad> all = new ArrayList<>(totals);
         told.stream()
                 .filter(t -> totals.stream().noneMatch(n -> n.replica() == t.replica()))
-                .forEach(t -> all.add(new WorkHint.Total(t.replica(), 0, 0, 0)));
+                .forEach(t -> all.add(new LoadHint.ReplicaLoad(t.replica(), 0, 0, 0)));
         return all;
     }
 
-    private void take(String from, WorkHint hint) {
+    private void take(String from, LoadHint hint) {
         long now = clock.monotonicMillis();
-        if (hint.requestsPerSecond() > 0 || !hint.sends().isEmpty()) {
-            working.heard(from, hint.requestsPerSecond(), now);
+        if (hint.requestsPerSecond() > 0 || !hint.sentRequests().isEmpty()) {
+            working.recordPeer(from, hint.requestsPerSecond(), now);
         }
-        hint.totals().forEach(t -> registry.byHash(t.replica())
-                .ifPresent(r -> r.load().hinted(from, t.running(), t.longAnswers(), t.memoryTokens(), now)));
-        hint.sends().forEach(s -> registry.byHash(s.replica()).ifPresent(r -> {
-            r.load().hinted(s.readMillis(), now);
+        hint.replicaLoads().forEach(t -> registry.byHash(t.replica())
+                .ifPresent(r -> r.load().recordHint(from, t.running(), t.longAnswers(), t.memoryTokens(), now)));
+        hint.sentRequests().forEach(s -> registry.byHash(s.replica()).ifPresent(r -> {
+            r.load().recordHint(s.prefillMillis(), now);
             onSend.accept(r, s);
         }));
     }
--- a/gateway/src/test/java/org/hornbeamhead/gateway/duty/RolloutInTimeTest.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/duty/RolloutInTimeTest.java
@@ -100,7 +100,7 @@
         long now = world.clock.monotonicMillis();
         long since = Math.max(0, now - world.replicas.loadedAt(replica.entry().id()));
         double part = used * Math.min(1, (double) since / BUSY_AFTER_MILLIS);
-        replica.load().hinted("other", 1, 0, (int) (part * DutyWorld.MEMORY_TOKENS), now);
+        replica.load().recordHint("other", 1, 0, (int) (part * DutyWorld.MEMORY_TOKENS), now);
     }
 
     private void watch() {
--- a/gateway/src/test/java/org/hornbeamhead/gateway/replica/ReplicaRegistryTest.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/replica/ReplicaRegistryTest.java
@@ -61,7 +61,7 @@
         news.stream().limit(1).forEach(e -> registry.put(e, 1));
         LiveReplica before = only();
         before.sawWeights(9);
-        before.load().sent("q", 100, 1_000, true, clock.monotonicMillis());
+        before.load().recordSent("q", 100, 1_000, true, clock.monotonicMillis());
         before.guard().unreachable(clock.monotonicMillis());
         news.stream().skip(1).forEach(e -> registry.put(e, 2));
         LiveReplica now = only();
@@ -69,7 +69,7 @@
         if (news.get(0).equals(FIRST)) {
             assertNotSame(now, before);
             assertEquals(now.weights("m"), 4);
-            assertEquals(now.load().total(clock.monotonicMillis()), 0);
+            assertEquals(now.load().runningRequests(clock.monotonicMillis()), 0);
             assertFalse(now.guard().ejected(clock.monotonicMillis()));
         } else {
             assertSame(now, before);
--- a/router/src/main/java/org/hornbeamhead/router/Router.java
+++ b/router/src/main/java/org/hornbeamhead/router/Router.java
@@ -170,7 +170,7 @@
     private Promise<HttpResponse> entry(HttpRequest request) {
         String customer = request.getQueryParameter("customer");
         String hint = request.getQueryParameter("hint");
-        EntryAnswer answer = entries.answer(customer == null ? "" : customer, hint == null ? "" : hint);
+        EntryAnswer answer = entries.resolve(customer == null ? "" : customer, hint == null ? "" : hint);
         ObjectNode json = Json.object();
         answer.addresses().forEach(json.withArray("addresses")::add);
         json.put("ttl_ms", answer.ttl().toMillis());
@@ -223,7 +223,7 @@
 
     private void membersChanged() {
         List<Member> serving = gossip.serving();
-        entries.serving(serving.stream().map(Member::address).toList());
+        entries.updateRouters(serving.stream().map(Member::address).toList());
         claims.serving(serving.stream().map(Member::peerAddress).toList());
         pools.routers(serving.size());
     }
