--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Attempt.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Attempt.java
@@ -231,7 +231,7 @@
     }
 
     private Promise<Void> relay(List<EventCutter.Event> events) {
-        replica.load().firstEvent(request.id(), now());
+        replica.load().recordFirstEvent(request.id(), now());
         armSilenceTimer(request.silenceTimeouts().pauseMillis());
         ByteArrayOutputStream newEvents = new ByteArrayOutputStream();
         events.stream().filter(e -> exchange.progress().advance(e.id())).forEach(e -> newEvents.writeBytes(e.bytes()));
@@ -326,7 +326,7 @@
     private void stop() {
         ended = true;
         timers.cancelAll();
-        replica.load().ended(request.id());
+        replica.load().recordEnded(request.id());
     }
 
     private long now() {
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/AttemptRequest.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/AttemptRequest.java
@@ -44,8 +44,8 @@
         Optional<Prompt> prompt = exchange.serviceRequest().callerRequest().prompt();
         int memoryTokens = prompt.map(Prompt::memoryTokens).orElse(0);
         boolean longResponse = prompt.map(Prompt::hasLongAnswer).orElse(false);
-        double readMillis = target.engineChoice().map(EngineChoice::readMillis).orElse(0.0);
-        replica.load().sent(id(), readMillis, memoryTokens, longResponse, now());
+        double readMillis = target.engineChoice().map(EngineChoice::prefillMillis).orElse(0.0);
+        replica.load().recordSent(id(), readMillis, memoryTokens, longResponse, now());
         target.engineChoice().ifPresent(c -> exchange.dispatcher().recordEngineSend(replica, c));
     }
 
@@ -71,7 +71,7 @@
     private String logInputs(ForwardingOptions options) {
         WeightsExpiryMonitor monitor = exchange.dispatcher().weightsExpiry();
         return "predictedMillis=" + Math.round(target.predictedMillis())
-                + " load=" + replica.load().total(now())
+                + " load=" + replica.load().runningRequests(now())
                 + " millisLeft=" + options.timeLeftMillis()
                 + options.engine().map(e -> " salt=" + e.salt()).orElse("")
                 + modelVersion()
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Dispatcher.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Dispatcher.java
@@ -10,8 +10,8 @@
 import java.util.Optional;
 import java.util.random.RandomGenerator;
 import org.hornbeamhead.core.engine.EngineChoice;
-import org.hornbeamhead.core.engine.WorkHint;
-import org.hornbeamhead.core.entry.WorkingRouters;
+import org.hornbeamhead.core.engine.LoadHint;
+import org.hornbeamhead.core.entry.ActiveRouters;
 import org.hornbeamhead.core.forward.FinalResponse;
 import org.hornbeamhead.core.http.Headers;
 import org.hornbeamhead.core.http.WholeRequest;
@@ -73,7 +73,7 @@
     private final StartupQueue startupQueue;
     private final WeightsExpiryMonitor weightsExpiry;
     private final RetryBudgetLimits budgetLimits;
-    private final WorkingRouters routers;
+    private final ActiveRouters routers;
     private final Quarantine quarantine;
     private final InFlightRequests inFlight = new InFlightRequests();
     private WorkHints workHints;
@@ -117,7 +117,7 @@
             String dataCentre,
             boolean priorTraffic,
             RetryBudgetLimits budgetLimits,
-            WorkingRouters routers,
+            ActiveRouters routers,
             Quarantine quarantine) {}
 
     /**
@@ -203,7 +203,7 @@
             return;
         }
         budget(name).recordRequest(clock.monotonicMillis());
-        routers.requested(clock.monotonicMillis());
+        routers.recordRequest(clock.monotonicMillis());
         new Exchange(this, new ServiceRequest(routed, service.get()), response).start();
     }
 
@@ -222,15 +222,15 @@
     }
 
     boolean takeRetry(String service) {
-        return budget(service).tryAcquire(clock.monotonicMillis(), routers.shareOfLimits());
+        return budget(service).tryAcquire(clock.monotonicMillis(), routers.limitShare());
     }
 
     boolean canRetry(String service) {
-        return budget(service).canAcquire(clock.monotonicMillis(), routers.shareOfLimits());
+        return budget(service).canAcquire(clock.monotonicMillis(), routers.limitShare());
     }
 
     void recordEngineSend(LiveReplica replica, EngineChoice choice) {
-        recordSend(replica, choice.beginning(), choice.storeMillis());
+        recordSend(replica, choice.prefixHash(), choice.storeMillis());
         workHints.recordSent(replica, choice);
     }
 
@@ -240,8 +240,8 @@
      * @param replica the engine
      * @param hint the request that was sent
      */
-    public void recordPeerSend(LiveReplica replica, WorkHint.Send hint) {
-        recordSend(replica, hint.beginning(), hint.storeMillis());
+    public void recordPeerSend(LiveReplica replica, LoadHint.SentRequest hint) {
+        recordSend(replica, hint.prefixHash(), hint.storeMillis());
     }
 
     private void recordSend(LiveReplica replica, long beginning, double storeMillis) {
@@ -324,6 +324,6 @@
 
     /** Returns the share of this router in a limit that applies to all routers together. */
     int localShare(int limit) {
-        return (int) (limit * routers.shareOfLimits());
+        return (int) (limit * routers.limitShare());
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Exchange.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Exchange.java
@@ -147,7 +147,7 @@
 
     private OptionalLong admissionRetryMillis(Target target) {
         return target.engineChoice()
-                .map(c -> EngineAdmission.refuse(
+                .map(c -> EngineAdmission.retryAfterMillis(
                         c, serviceRequest.route().limits().latencyTargetMillis(), timeLeftMillis()))
                 .orElse(OptionalLong.empty());
     }
@@ -337,7 +337,7 @@
                 .callerRequest()
                 .prompt()
                 .map(p ->
-                        " tokens=" + p.sharedTokens() + "+" + (p.tokens() - p.sharedTokens()) + ">" + p.outputTokens())
+                        " tokens=" + p.sharedTokens() + "+" + (p.tokens() - p.sharedTokens()) + ">" + p.maxOutputTokens())
                 .orElse("");
         return "route=" + serviceRequest.route().name() + tokens + timings + " millis="
                 + elapsed().toMillis() + " tried=" + tried;
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/TargetSelector.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/TargetSelector.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.hornbeamhead.core.engine.CacheLinks;
+import org.hornbeamhead.core.engine.KvTransferLinks;
 import org.hornbeamhead.core.engine.EngineCandidate;
 import org.hornbeamhead.core.engine.EngineChoice;
 import org.hornbeamhead.core.engine.EngineChooser;
@@ -69,7 +69,7 @@
     private Optional<Target> selectLeastLoaded(List<LiveReplica> replicas) {
         long now = clock.monotonicMillis();
         return replicas.stream()
-                .min(Comparator.comparingInt((LiveReplica r) -> r.load().total(now))
+                .min(Comparator.comparingInt((LiveReplica r) -> r.load().runningRequests(now))
                         .thenComparing(r -> !r.entry().dataCentre().equals(dataCentre))
                         .thenComparingInt(r -> r.connections().open()))
                 .map(r -> new Target(r, Optional.empty(), Optional.empty(), "least load"));
@@ -85,7 +85,7 @@
         Map<String, LiveReplica> replicasByRun = new HashMap<>();
         replicas.forEach(r -> replicasByRun.put(r.entry().run(), r));
         EngineSpec spec = service.engine().orElseThrow();
-        CacheLinks links = links(spec, config);
+        KvTransferLinks links = links(spec, config);
         List<EngineCandidate> candidates = replicas.stream()
                 .map(r -> new EngineCandidate(
                         r.entry().run(),
@@ -111,14 +111,14 @@
                         replicasByRun.get(choice.engine().id())));
     }
 
-    private static CacheLinks links(EngineSpec engine, RoutingConfig config) {
-        return new CacheLinks(
-                CacheLinks.tokensPerMilli(engine.linkMbps(), engine.kvTokenBytes()),
+    private static KvTransferLinks links(EngineSpec engine, RoutingConfig config) {
+        return new KvTransferLinks(
+                KvTransferLinks.tokensPerMilli(engine.linkMbps(), engine.kvTokenBytes()),
                 config.kvCacheStores().stream()
-                        .map(s -> new CacheLinks.Store(
+                        .map(s -> new KvTransferLinks.Store(
                                 s.address(),
                                 s.dataCentre(),
-                                CacheLinks.tokensPerMilli(s.linkMbps(), engine.kvTokenBytes())))
+                                KvTransferLinks.tokensPerMilli(s.linkMbps(), engine.kvTokenBytes())))
                         .toList());
     }
 
@@ -134,7 +134,7 @@
                 .flatMap(ServiceSpec::engine)
                 .map(engine -> links(engine, config))
                 .ifPresent(links -> chooser(service)
-                        .sent(
+                        .recordSent(
                                 beginning,
                                 replica.entry().run(),
                                 replica.load().waitMillis(now),
@@ -146,7 +146,7 @@
     /** Records that an engine did not take a request of this router. */
     void recordRefused(LiveReplica replica, EngineChoice choice) {
         chooser(replica.entry().service())
-                .refused(choice.beginning(), replica.entry().run());
+                .recordRejected(choice.prefixHash(), replica.entry().run());
     }
 
     /**
@@ -158,10 +158,10 @@
     }
 
     private Target toTarget(
-            CacheLinks links, Prompt prompt, String isolatedCustomer, EngineChoice choice, LiveReplica replica) {
+            KvTransferLinks links, Prompt prompt, String isolatedCustomer, EngineChoice choice, LiveReplica replica) {
         long version = choice.engine().weights();
         String salt = salt(prompt, isolatedCustomer, version);
-        Optional<String> store = links.store(choice.beginning()).map(CacheLinks.Store::address);
+        Optional<String> store = links.storeFor(choice.prefixHash()).map(KvTransferLinks.Store::address);
         Optional<String> source =
                 choice.fetchFrom().flatMap(registry::get).map(r -> r.entry().address());
         return new Target(
@@ -169,9 +169,9 @@
                 Optional.of(new ForwardingOptions.EngineOptions(
                         salt,
                         version,
-                        source.or(() -> store.filter(s -> choice.askStore())),
-                        store.filter(s -> choice.save()))),
+                        source.or(() -> store.filter(s -> choice.queryStore())),
+                        store.filter(s -> choice.saveToStore()))),
                 Optional.of(choice),
-                choice.why());
+                choice.reason());
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/RouterList.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/RouterList.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
 import java.util.stream.Stream;
-import org.hornbeamhead.core.entry.EntrySpread;
+import org.hornbeamhead.core.entry.EntrySelection;
 import org.hornbeamhead.core.entry.StoreReaders;
 import org.hornbeamhead.core.mirror.StoreItem;
 import org.hornbeamhead.core.time.Clock;
@@ -70,20 +70,20 @@
      * @return the addresses for callers; the own address if no other is known
      */
     public List<String> callerAddresses(int limit, double requestsPerSecond) {
-        List<EntrySpread.Candidate> candidates = new ArrayList<>();
+        List<EntrySelection.Candidate> candidates = new ArrayList<>();
         others.values().forEach(e -> candidates.add(candidate(e)));
         if (selfServes.getAsBoolean() || candidates.isEmpty()) {
             candidates.add(candidate(self));
         }
-        return EntrySpread.choose(candidates, requestsPerSecond).stream()
+        return EntrySelection.choose(candidates, requestsPerSecond).stream()
                 .distinct()
                 .limit(limit)
                 .toList();
     }
 
-    private EntrySpread.Candidate candidate(RouterEntry e) {
+    private EntrySelection.Candidate candidate(RouterEntry e) {
         long uptimeMillis = clock.wallMillis() - e.startedWallMillis();
-        return new EntrySpread.Candidate(e.caller(), e.dataCentre(), e.capacity(), uptimeMillis);
+        return new EntrySelection.Candidate(e.caller(), e.dataCentre(), e.capacity(), uptimeMillis);
     }
 
     /**
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/WorkHints.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/WorkHints.java
@@ -9,8 +9,8 @@
 import java.util.function.BiConsumer;
 import java.util.function.Supplier;
 import org.hornbeamhead.core.engine.EngineChoice;
-import org.hornbeamhead.core.engine.WorkHint;
-import org.hornbeamhead.core.entry.WorkingRouters;
+import org.hornbeamhead.core.engine.LoadHint;
+import org.hornbeamhead.core.entry.ActiveRouters;
 import org.hornbeamhead.core.time.Clock;
 import org.hornbeamhead.gateway.replica.LiveReplica;
 import org.hornbeamhead.gateway.replica.ReplicaRegistry;
@@ -41,11 +41,11 @@
     private final Clock clock;
     private final ReplicaRegistry registry;
     private final Supplier<List<String>> peers;
-    private final WorkingRouters workingRouters;
+    private final ActiveRouters workingRouters;
     private final PeerDatagrams datagrams;
-    private final BiConsumer<LiveReplica, WorkHint.Send> onSend;
-    private final List<WorkHint.Send> pendingSends = new ArrayList<>();
-    private List<WorkHint.Total> lastTotals = List.of();
+    private final BiConsumer<LiveReplica, LoadHint.SentRequest> onSend;
+    private final List<LoadHint.SentRequest> pendingSends = new ArrayList<>();
+    private List<LoadHint.ReplicaLoad> lastTotals = List.of();
     private long lastBroadcastMillis;
     private ScheduledRunnable nextFlush;
     private boolean idleInterval;
@@ -66,9 +66,9 @@
             Clock clock,
             ReplicaRegistry registry,
             Supplier<List<String>> peers,
-            WorkingRouters workingRouters,
+            ActiveRouters workingRouters,
             PeerDatagrams datagrams,
-            BiConsumer<LiveReplica, WorkHint.Send> onSend) {
+            BiConsumer<LiveReplica, LoadHint.SentRequest> onSend) {
         this.reactor = reactor;
         this.clock = clock;
         this.registry = registry;
@@ -80,7 +80,7 @@
 
     /** Starts to send and receive hints. */
     public void start() {
-        datagrams.addListener((from, bytes) -> WorkHint.decode(bytes).ifPresent(hint -> apply(from, hint)));
+        datagrams.addListener((from, bytes) -> LoadHint.decode(bytes).ifPresent(hint -> apply(from, hint)));
         flush();
     }
 
@@ -91,9 +91,9 @@
      * @param choice how the replica was chosen
      */
     public void recordSent(LiveReplica replica, EngineChoice choice) {
-        int readMillis = (int) Math.round(choice.readMillis());
+        int readMillis = (int) Math.round(choice.prefillMillis());
         int storeMillis = (int) Math.round(choice.storeMillis());
-        pendingSends.add(new WorkHint.Send(replica.hash(), choice.beginning(), readMillis, storeMillis));
+        pendingSends.add(new LoadHint.SentRequest(replica.hash(), choice.prefixHash(), readMillis, storeMillis));
         if (idleInterval) {
             nextFlush.cancel();
             scheduleFlush(FLUSH_INTERVAL_MILLIS);
@@ -107,26 +107,26 @@
 
     private void flush() {
         long now = clock.monotonicMillis();
-        List<WorkHint.Total> totals = registry.all().stream()
-                .filter(r -> r.load().own() > 0)
-                .map(r -> new WorkHint.Total(
+        List<LoadHint.ReplicaLoad> totals = registry.all().stream()
+                .filter(r -> r.load().ownRequests() > 0)
+                .map(r -> new LoadHint.ReplicaLoad(
                         r.hash(),
-                        r.load().own(),
+                        r.load().ownRequests(),
                         r.load().ownLongAnswers(),
                         r.load().ownMemoryTokens()))
                 .toList();
         int rate = (int) Math.ceil(workingRouters.ownRate(now));
         boolean hasChanges = !pendingSends.isEmpty() || !totals.equals(lastTotals);
         boolean broadcast = (rate > 0 || !totals.isEmpty()) && now - lastBroadcastMillis > BROADCAST_INTERVAL_MILLIS;
-        Set<String> activeRouters = Set.copyOf(workingRouters.others(now));
+        Set<String> activeRouters = Set.copyOf(workingRouters.activePeers(now));
         if (hasChanges || broadcast) {
-            send(new WorkHint(rate, withFinished(totals), List.copyOf(pendingSends)), activeRouters);
+            send(new LoadHint(rate, withFinished(totals), List.copyOf(pendingSends)), activeRouters);
             lastTotals = totals;
         }
         if (broadcast) {
             Set<String> idleRouters = new HashSet<>(peers.get());
             idleRouters.removeAll(activeRouters);
-            send(new WorkHint(rate, totals, List.of()), idleRouters);
+            send(new LoadHint(rate, totals, List.of()), idleRouters);
             lastBroadcastMillis = now;
         }
         pendingSends.clear();
@@ -135,29 +135,29 @@
                 totals.isEmpty() && rate == 0 ? BROADCAST_INTERVAL_MILLIS : FLUSH_INTERVAL_MILLIS * intervalFactor);
     }
 
-    private void send(WorkHint hint, Set<String> to) {
+    private void send(LoadHint hint, Set<String> to) {
         byte[] datagram = hint.encode();
         to.stream().limit(MAX_PEERS).forEach(p -> datagrams.send(p, datagram));
     }
 
     /** Adds a zero total for each replica on which all requests of this router have ended. */
-    private List<WorkHint.Total> withFinished(List<WorkHint.Total> totals) {
-        List<WorkHint.Total> result = new ArrayList<>(totals);
+    private List<LoadHint.ReplicaLoad> withFinished(List<LoadHint.ReplicaLoad> totals) {
+        List<LoadHint.ReplicaLoad> result = new ArrayList<>(totals);
         lastTotals.stream()
                 .filter(t -> totals.stream().noneMatch(n -> n.replica() == t.replica()))
-                .forEach(t -> result.add(new WorkHint.Total(t.replica(), 0, 0, 0)));
+                .forEach(t -> result.add(new LoadHint.ReplicaLoad(t.replica(), 0, 0, 0)));
         return result;
     }
 
-    private void apply(String from, WorkHint hint) {
+    private void apply(String from, LoadHint hint) {
         long now = clock.monotonicMillis();
-        if (hint.requestsPerSecond() > 0 || !hint.sends().isEmpty()) {
-            workingRouters.heard(from, hint.requestsPerSecond(), now);
+        if (hint.requestsPerSecond() > 0 || !hint.sentRequests().isEmpty()) {
+            workingRouters.recordPeer(from, hint.requestsPerSecond(), now);
         }
-        hint.totals().forEach(t -> registry.byHash(t.replica())
-                .ifPresent(r -> r.load().hinted(from, t.running(), t.longAnswers(), t.memoryTokens(), now)));
-        hint.sends().forEach(s -> registry.byHash(s.replica()).ifPresent(r -> {
-            r.load().hinted(s.readMillis(), now);
+        hint.replicaLoads().forEach(t -> registry.byHash(t.replica())
+                .ifPresent(r -> r.load().recordHint(from, t.running(), t.longAnswers(), t.memoryTokens(), now)));
+        hint.sentRequests().forEach(s -> registry.byHash(s.replica()).ifPresent(r -> {
+            r.load().recordHint(s.prefillMillis(), now);
             onSend.accept(r, s);
         }));
     }
