--- a/fuzz/src/test/java/org/hornbeamhead/platform/DocumentReading.java
+++ b/fuzz/src/test/java/org/hornbeamhead/platform/DocumentReading.java
@@ -9,8 +9,8 @@
     /** Fails when a reader throws where it should report. */
     public static void read(String text) {
         PlatformDocumentReader reader = new PlatformDocumentReader();
-        reader.configuration(new StoreItem("op/config", 1, text, false));
-        reader.weights(new StoreItem("op/version/m", 1, text, false));
-        reader.replica(new StoreItem("servers/i", 1, text, false));
+        reader.parseConfiguration(new StoreItem("op/config", 1, text, false));
+        reader.parseWeights(new StoreItem("op/version/m", 1, text, false));
+        reader.parseReplica(new StoreItem("servers/i", 1, text, false));
     }
 }
--- /dev/null
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/PlatformDocumentParser.java
@@ -0,0 +1,69 @@
+package org.hornbeamhead.gateway;
+
+import io.vavr.control.Either;
+import org.hornbeamhead.core.mirror.StoreItem;
+import org.hornbeamhead.core.replica.ReplicaEntry;
+import org.hornbeamhead.core.route.RoutingConfig;
+
+/** Parses the items that operators and replicas write to the platform's store. */
+public interface PlatformDocumentParser {
+    /** The kind of an item. */
+    enum Kind {
+        /** The operators' configuration. */
+        CONFIGURATION,
+        /** The target version of a model's weights. */
+        WEIGHTS,
+        /** A replica's entry. */
+        REPLICA,
+        /** Any other item. */
+        OTHER
+    }
+
+    /**
+     * The target version of a model's weights, as set by operators.
+     *
+     * @param model the model
+     * @param version the version
+     */
+    record TargetWeights(String model, long version) {}
+
+    /**
+     * Returns the kind of the item that is stored under a key.
+     *
+     * @param key the key
+     * @return the kind
+     */
+    Kind kind(String key);
+
+    /**
+     * Parses a configuration.
+     *
+     * @param item the item
+     * @return the configuration, or a description of what is invalid
+     */
+    Either<String, RoutingConfig> parseConfiguration(StoreItem item);
+
+    /**
+     * Parses a target version of weights.
+     *
+     * @param item the item
+     * @return the version, or a description of what is invalid
+     */
+    Either<String, TargetWeights> parseWeights(StoreItem item);
+
+    /**
+     * Parses a replica's entry.
+     *
+     * @param item the item
+     * @return the entry, or a description of what is invalid
+     */
+    Either<String, ReplicaEntry> parseReplica(StoreItem item);
+
+    /**
+     * Extracts the replica's id from the key of its entry.
+     *
+     * @param key the key
+     * @return the id
+     */
+    String replicaId(String key);
+}
--- a/gateway/src/main/java/org/hornbeamhead/gateway/RouterProcess.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/RouterProcess.java
@@ -27,9 +27,9 @@
 import org.hornbeamhead.gateway.caller.CallerFront;
 import org.hornbeamhead.gateway.dispatch.Dispatcher;
 import org.hornbeamhead.gateway.dispatch.WireDialect;
-import org.hornbeamhead.gateway.duty.Duties;
-import org.hornbeamhead.gateway.duty.ReplicaOrders;
-import org.hornbeamhead.gateway.duty.SteerNotice;
+import org.hornbeamhead.gateway.duty.LeaderTasks;
+import org.hornbeamhead.gateway.duty.PeerChangeNotifier;
+import org.hornbeamhead.gateway.duty.ReplicaOrderClient;
 import org.hornbeamhead.gateway.quarantine.Quarantine;
 import org.hornbeamhead.gateway.replica.ReplicaRegistry;
 import org.hornbeamhead.gateway.state.MirrorCalls;
@@ -46,53 +46,54 @@
 import org.hornbeamhead.gateway.state.WeightsView;
 import org.hornbeamhead.gateway.state.WorkHints;
 
-/** A router: all its parts, put together and run on one reactor. */
+/** A router process: creates and connects its components, which run on one reactor. */
 public final class RouterProcess {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    /** Limits on callers before the first configuration is known. */
-    private static final CallerLimits FIRST_LIMITS = new CallerLimits(16_384, 4_194_304, 3_000, 15_000);
+    /** The limits for callers until the first configuration has been read. */
+    private static final CallerLimits DEFAULT_LIMITS = new CallerLimits(16_384, 4_194_304, 3_000, 15_000);
 
     private final RouterSettings settings;
     private final Daemon daemon;
     private final NioReactor reactor;
     private final Clock clock;
-    private final PlatformDocuments documents;
+    private final PlatformDocumentParser documents;
     private final Metrics metrics = new Metrics();
     private final StoreMirror mirror = new StoreMirror();
     private final RoutingState state = new RoutingState();
     private final ReplicaRegistry registry;
     private final WeightsView weights;
-    private final WeightsListener names;
+    private final WeightsListener weightsListener;
     private final RouterList routers;
-    private final WorkingRouters working;
+    private final WorkingRouters workingRouters;
     private final RouterPresence presence;
-    private final SuspensionWatch suspensions;
-    private final StoreView view;
-    private final SteerNotice notice;
-    private final Duties duties;
+    private final SuspensionWatch suspensionWatch;
+    private final StoreView storeView;
+    private final PeerChangeNotifier notifier;
+    private final LeaderTasks leaderTasks;
     private final PeerDatagrams datagrams;
     private final Quarantine quarantine;
     private final Dispatcher dispatcher;
-    private final WorkHints hints;
-    private final CallerFront front;
+    private final WorkHints workHints;
+    private final CallerFront callerFront;
     private final Shutdown shutdown;
 
     /**
-     * What a platform provides.
+     * The interfaces that a platform implements.
      *
-     * @param store its store
-     * @param documents reads what others write there
-     * @param dialect the header lines of callers and replicas
-     * @param orders orders to replicas
+     * @param store the platform's store
+     * @param documents parses the items in the store
+     * @param dialect the header fields of callers and replicas
+     * @param orders sends orders to replicas
      */
-    public record Ports(PlatformStore store, PlatformDocuments documents, WireDialect dialect, ReplicaOrders orders) {}
+    public record Ports(
+            PlatformStore store, PlatformDocumentParser documents, WireDialect dialect, ReplicaOrderClient orders) {}
 
     /**
-     * Puts a router together.
+     * Creates a router.
      *
-     * @param settings what it is told
-     * @param daemon its reactor
-     * @param ports what the platform provides
+     * @param settings the settings
+     * @param daemon provides the reactor, clock and timers
+     * @param ports the platform's implementations
      */
     public RouterProcess(RouterSettings settings, Daemon daemon, Ports ports) {
         this.settings = settings;
@@ -102,13 +103,13 @@
         this.documents = ports.documents();
         Random random = new Random();
         registry = new ReplicaRegistry(reactor, clock);
-        weights = new WeightsView(settings.weightsBound().toMillis());
-        names = new WeightsListener(clock, mirror, state, weights);
-        routers = new RouterList(settings.self(), this::ready, clock);
-        working = new WorkingRouters(routers::count);
+        weights = new WeightsView(settings.supersededWeightsLimit().toMillis());
+        weightsListener = new WeightsListener(clock, mirror, state, weights);
+        routers = new RouterList(settings.self(), this::isReady, clock);
+        workingRouters = new WorkingRouters(routers::count);
         presence = new RouterPresence(reactor, ports.store(), settings.self());
-        suspensions = new SuspensionWatch(daemon.timers(), clock, this::stoodStill);
-        view = new StoreView(new StoreView.Parts(
+        suspensionWatch = new SuspensionWatch(daemon.timers(), clock, this::onSuspension);
+        storeView = new StoreView(new StoreView.Parts(
                 daemon.timers(),
                 clock,
                 random,
@@ -116,16 +117,16 @@
                 mirror,
                 state,
                 weights,
-                suspensions,
+                suspensionWatch,
                 routers,
                 settings.self().node(),
                 this::peerAddresses,
                 MirrorCalls.toReaders(reactor),
                 MirrorCalls.toAnyone(reactor)));
-        notice = new SteerNotice(reactor, clock, this::workingPeers, weights, registry);
-        duties = new Duties(
-                new Duties.Parts(
-                        daemon.timers(), clock, registry, weights, ports.orders(), ports.store(), mirror, notice),
+        notifier = new PeerChangeNotifier(reactor, clock, this::workingPeerAddresses, weights, registry);
+        leaderTasks = new LeaderTasks(
+                new LeaderTasks.Dependencies(
+                        daemon.timers(), clock, registry, weights, ports.orders(), ports.store(), mirror, notifier),
                 settings,
                 routers,
                 state);
@@ -143,13 +144,14 @@
                 settings.self().dataCentre(),
                 !settings.firstStart(),
                 settings.budget(),
-                working,
+                workingRouters,
                 quarantine));
-        hints = new WorkHints(reactor, clock, registry, routers::hintAddresses, working, datagrams, dispatcher::hinted);
-        dispatcher.tell(hints);
-        front = new CallerFront(reactor, this::handle, this::limits, metrics);
-        shutdown = new Shutdown(daemon, front, presence, duties, settings.grace());
-        mirror.listen(this::changed);
+        workHints = new WorkHints(
+                reactor, clock, registry, routers::hintAddresses, workingRouters, datagrams, dispatcher::hinted);
+        dispatcher.tell(workHints);
+        callerFront = new CallerFront(reactor, this::handle, this::callerLimits, metrics);
+        shutdown = new Shutdown(daemon, callerFront, presence, leaderTasks, settings.grace());
+        mirror.listen(this::onStoreChange);
     }
 
     private Quarantine.Parts quarantineParts(Ports ports, Random random) {
@@ -160,38 +162,38 @@
                 ports.store(),
                 registry,
                 datagrams,
-                new CrashGossip.Audience(this::workingHints, routers::hintAddresses),
+                new CrashGossip.Audience(this::workingHintAddresses, routers::hintAddresses),
                 metrics);
     }
 
-    private void stoodStill(long millis) {
-        state.doubt(millis, clock.monotonicMillis());
-        weights.doubt(millis);
-        view.introduceAgain();
+    private void onSuspension(long suspendedMillis) {
+        state.doubt(suspendedMillis, clock.monotonicMillis());
+        weights.doubt(suspendedMillis);
+        storeView.introduceAgain();
     }
 
     private void handle(WholeRequest request, CallerAnswer answer) {
-        if (shutdown.givesBack()) {
+        if (shutdown.rejectsNewRequests()) {
             dispatcher.giveBack(request, answer, "the router is about to end");
         } else {
             dispatcher.handle(request, answer);
         }
     }
 
-    private CallerLimits limits() {
-        return state.config().map(RoutingConfig::limits).orElse(FIRST_LIMITS);
+    private CallerLimits callerLimits() {
+        return state.config().map(RoutingConfig::limits).orElse(DEFAULT_LIMITS);
     }
 
     private List<String> peerAddresses() {
         return routers.peerAddresses(settings.seeds());
     }
 
-    private List<String> workingPeers() {
-        return routers.peerAddressesOf(workingHints(), settings.seeds());
+    private List<String> workingPeerAddresses() {
+        return routers.peerAddressesOf(workingHintAddresses(), settings.seeds());
     }
 
-    private List<String> workingHints() {
-        return working.others(clock.monotonicMillis());
+    private List<String> workingHintAddresses() {
+        return workingRouters.others(clock.monotonicMillis());
     }
 
     /**
@@ -200,59 +202,62 @@
      * @throws IOException when an address cannot be bound
      */
     public void start() throws IOException {
-        front.listen(settings.callers());
-        daemon.listen(settings.peers(), this::answerPeer);
-        if (settings.metrics().getPort() != 0) {
-            daemon.listen(settings.metrics(), request -> metrics.scrape());
+        callerFront.listen(settings.callerAddress());
+        daemon.listen(settings.peerAddress(), this::handlePeerRequest);
+        if (settings.metricsAddress().getPort() != 0) {
+            daemon.listen(settings.metricsAddress(), request -> metrics.scrape());
         }
-        metrics.gauge("hornbeam_requests_in_flight", front::inFlight);
-        metrics.gauge("hornbeam_caller_connections", front::connections);
+        metrics.gauge("hornbeam_requests_in_flight", callerFront::inFlight);
+        metrics.gauge("hornbeam_caller_connections", callerFront::connections);
         metrics.gauge("hornbeam_replicas", () -> registry.all().size());
-        metrics.gauge("hornbeam_store_away", () -> view.away() ? 1 : 0);
-        metrics.gauge("hornbeam_reads_store", () -> view.readsStore() ? 1 : 0);
+        metrics.gauge("hornbeam_store_away", () -> storeView.away() ? 1 : 0);
+        metrics.gauge("hornbeam_reads_store", () -> storeView.readsStore() ? 1 : 0);
         metrics.gauge("hornbeam_uncaught_errors", daemon::uncaughtErrors);
         quarantine.start();
-        datagrams.start(settings.hints());
-        hints.start();
-        view.start();
+        datagrams.start(settings.hintAddress());
+        workHints.start();
+        storeView.start();
         presence.start();
-        suspensions.start();
-        duties.start();
-        daemon.onSignal(shutdown::begin);
+        suspensionWatch.start();
+        leaderTasks.start();
+        daemon.onSignal(shutdown::start);
         logger.atInfo()
                 .with(Logs.DECISION, "started")
                 .log("router %s started", settings.self().node());
     }
 
-    private Promise<HttpResponse> answerPeer(HttpRequest request) throws Exception {
+    private Promise<HttpResponse> handlePeerRequest(HttpRequest request) throws Exception {
         AsyncServlet servlet =
                 switch (request.getPath()) {
-                    case MirrorServer.PATH -> view::answer;
-                    case SteerNotice.PATH -> notice::answer;
+                    case MirrorServer.PATH -> storeView::answer;
+                    case PeerChangeNotifier.PATH -> notifier::handle;
                     default -> r -> HttpAnswers.text(404, "text/plain", "no such path\n");
                 };
         return servlet.serve(request);
     }
 
-    /** One key that cannot be taken over must not keep the router from hearing of all others. */
-    private void changed(StoreItem item) {
-        Try.run(() -> passOn(item)).onFailure(e -> logger.atSevere()
+    /**
+     * Processes a change of the store. A failure is logged and skipped, so that one invalid key does not keep the
+     * router from processing the others.
+     */
+    private void onStoreChange(StoreItem item) {
+        Try.run(() -> processChange(item)).onFailure(e -> logger.atSevere()
                 .withCause(e)
                 .with(Logs.INPUTS, "revision=" + item.revision())
-                .log("key %s cannot be taken over and is passed over", item.key()));
+                .log("key %s cannot be applied and is skipped", item.key()));
     }
 
-    private void passOn(StoreItem item) {
-        if (takeOver(item)) {
-            view.changed(item);
-            duties.look();
+    private void processChange(StoreItem item) {
+        if (applyChange(item)) {
+            storeView.changed(item);
+            leaderTasks.wakeUp();
         }
     }
 
-    /** Takes over a change, and tells whether it says anything that other routers have to hear. */
-    private boolean takeOver(StoreItem item) {
+    /** Applies a change, and returns whether it contains anything that other routers have to learn. */
+    private boolean applyChange(StoreItem item) {
         if (item.key().startsWith(RouterEntry.PREFIX)) {
-            routerChanged(item);
+            applyRouterChange(item);
             return true;
         }
         if (item.key().equals(CrashArchive.KEY)) {
@@ -261,96 +266,96 @@
         }
         switch (documents.kind(item.key())) {
             case CONFIGURATION -> documents
-                    .configuration(item)
-                    .peekLeft(why -> unreadable(item, why))
-                    .forEach(c -> configured(c, item.revision()));
+                    .parseConfiguration(item)
+                    .peekLeft(reason -> logUnreadable(item, reason))
+                    .forEach(config -> applyConfiguration(config, item.revision()));
             case WEIGHTS -> documents
-                    .weights(item)
-                    .peekLeft(why -> unreadable(item, why))
-                    .forEach(w -> names.named(w.model(), w.version(), item.revision()));
+                    .parseWeights(item)
+                    .peekLeft(reason -> logUnreadable(item, reason))
+                    .forEach(target -> weightsListener.named(target.model(), target.version(), item.revision()));
             case REPLICA -> {
-                return replicaChanged(item);
+                return applyReplicaChange(item);
             }
-            default -> logger.atFine().log("key %s is of no concern", item.key());
+            default -> logger.atFine().log("key %s is not relevant to routers", item.key());
         }
         return true;
     }
 
-    private void configured(RoutingConfig config, long revision) {
-        boolean first = state.config().isEmpty();
+    private void applyConfiguration(RoutingConfig config, long revision) {
+        boolean isFirst = state.config().isEmpty();
         state.accept(config, revision);
-        if (first) {
+        if (isFirst) {
             dispatcher.configured();
         }
     }
 
-    private static void unreadable(StoreItem item, String why) {
+    private static void logUnreadable(StoreItem item, String reason) {
         logger.atWarning()
-                .with(Logs.REASON, why)
+                .with(Logs.REASON, reason)
                 .with(Logs.INPUTS, "revision=" + item.revision())
-                .log("key %s cannot be read and is passed over", item.key());
+                .log("key %s cannot be parsed and is skipped", item.key());
     }
 
-    /** Takes over a replica's entry, and tells whether it is more than a renewal. */
-    private boolean replicaChanged(StoreItem item) {
+    /** Applies a replica's entry, and returns whether it is more than a renewal. */
+    private boolean applyReplicaChange(StoreItem item) {
         String id = documents.replicaId(item.key());
         if (item.removed()) {
-            afterRelisting(item, () -> registry.remove(id, item.revision()));
+            applyRemoval(item, () -> registry.remove(id, item.revision()));
             return true;
         }
         return documents
-                .replica(item)
+                .parseReplica(item)
                 .fold(
-                        why -> {
-                            unreadable(item, why);
-                            registry.withhold(id, item.revision());
+                        reason -> {
+                            logUnreadable(item, reason);
+                            registry.markEntryInvalid(id, item.revision());
                             return true;
                         },
                         entry -> registry.put(entry, item.revision()));
     }
 
-    private void routerChanged(StoreItem item) {
+    private void applyRouterChange(StoreItem item) {
         if (item.removed()) {
-            afterRelisting(item, () -> routers.changed(item));
+            applyRemoval(item, () -> routers.changed(item));
         } else {
             routers.changed(item);
         }
     }
 
-    /** Believes a removal at once, or after the time in which it may turn out to be the work of an outage. */
-    private void afterRelisting(StoreItem removal, Runnable believe) {
-        long wait = view.relistMillis();
-        if (wait == 0 || mirrorIsFirst()) {
-            believe.run();
+    /** Applies a removal at once, or after the time in which an outage of the store may turn out to be its cause. */
+    private void applyRemoval(StoreItem removal, Runnable removalAction) {
+        long delayMillis = storeView.relistMillis();
+        if (delayMillis == 0 || isInitialRead()) {
+            removalAction.run();
             return;
         }
-        reactor.delayBackground(wait, () -> {
+        reactor.delayBackground(delayMillis, () -> {
             if (mirror.get(removal.key()).isEmpty()) {
-                believe.run();
+                removalAction.run();
             }
         });
     }
 
-    private boolean mirrorIsFirst() {
+    private boolean isInitialRead() {
         return mirror.revision() == 0;
     }
 
     /**
-     * Tells whether the router should get callers.
+     * Returns whether the router should be given to callers.
      *
-     * @return true with a configuration, until it is told to end
+     * @return true once there is a configuration, until shutdown starts
      */
-    public boolean ready() {
-        return state.config().isPresent() && !shutdown.begun();
+    public boolean isReady() {
+        return state.config().isPresent() && !shutdown.isStarted();
     }
 
     /**
-     * Lists the addresses that callers should use.
+     * Returns the addresses that callers should use.
      *
-     * @param limit the most addresses
+     * @param limit the maximum number of addresses
      * @return the addresses
      */
     public List<String> callerAddresses(int limit) {
-        return routers.callerAddresses(limit, working.allRate(clock.monotonicMillis()));
+        return routers.callerAddresses(limit, workingRouters.allRate(clock.monotonicMillis()));
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/RouterSettings.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/RouterSettings.java
@@ -7,35 +7,35 @@
 import org.hornbeamhead.gateway.state.RouterEntry;
 
 /**
- * What a router is told at its start.
+ * The settings of a router.
  *
  * @param self this router
- * @param callers where callers connect
- * @param peers where other routers connect
- * @param hints where other routers send hints
- * @param metrics where metrics are read
- * @param seeds addresses of other routers, possibly stale
+ * @param callerAddress the address at which callers connect
+ * @param peerAddress the address at which other routers connect
+ * @param hintAddress the address to which other routers send hints
+ * @param metricsAddress the address at which metrics are served
+ * @param seeds addresses of other routers, possibly outdated
  * @param firstStart whether the whole system starts for the first time
- * @param budget the budget of repeats that all routers share
- * @param grace how long the process may take to end after it was told to
- * @param holderPause how long two holders of a duty must be apart
- * @param weightsBound the time after which no request may begin on older weights
- * @param loadsAtOnce the changes of weights that run beside each other without slowing down
+ * @param budget the retry budget that all routers share
+ * @param grace how long the process may take to end after shutdown started
+ * @param leaderPause the minimum time between the orders of two leaders
+ * @param supersededWeightsLimit the time after which no request may begin on superseded weights
+ * @param parallelLoads how many replicas can load weights at the same time without slowing each other down
  */
 public record RouterSettings(
         RouterEntry self,
-        InetSocketAddress callers,
-        InetSocketAddress peers,
-        InetSocketAddress hints,
-        InetSocketAddress metrics,
+        InetSocketAddress callerAddress,
+        InetSocketAddress peerAddress,
+        InetSocketAddress hintAddress,
+        InetSocketAddress metricsAddress,
         List<String> seeds,
         boolean firstStart,
         BudgetLimits budget,
         Duration grace,
-        Duration holderPause,
-        Duration weightsBound,
-        int loadsAtOnce) {
-    /** Copies the seeds, so that the settings cannot change. */
+        Duration leaderPause,
+        Duration supersededWeightsLimit,
+        int parallelLoads) {
+    /** Copies the seeds, so that the settings are immutable. */
     public RouterSettings {
         seeds = List.copyOf(seeds);
     }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/Shutdown.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/Shutdown.java
@@ -5,91 +5,94 @@
 import org.hornbeamhead.daemon.Daemon;
 import org.hornbeamhead.daemon.Logs;
 import org.hornbeamhead.gateway.caller.CallerFront;
-import org.hornbeamhead.gateway.duty.Duties;
+import org.hornbeamhead.gateway.duty.LeaderTasks;
 import org.hornbeamhead.gateway.state.RouterPresence;
 
 /**
- * The graceful end of a router: leave the list, go on serving those who still have the address, finish, end.
+ * The graceful shutdown of a router: it is removed from the list of routers, still serves callers that have its
+ * address, finishes the requests in progress, and ends the process.
  *
- * <p>Failure: callers keep an answer for three times its time to live, and go on using open connections. Symptom: a
- * router that closes its listener at once cuts requests that were sent in good faith. It listens until the longest-kept
- * answer has run out, and each answer closes its connection.
+ * <p>Callers keep an address response for three times its time to live and continue to use open connections. A router
+ * that closed its listener at once would cut requests that were sent to a valid address. It listens until the address
+ * responses that are kept longest have expired, and each response closes its connection.
  */
 final class Shutdown {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    /** Three times the second for which address answers may be kept, and the way there. */
-    private static final long LISTEN_MILLIS = 3_500;
+    /** Three times the second for which address responses may be kept, plus the time of their delivery. */
+    private static final long MIN_LISTEN_MILLIS = 3_500;
     /**
-     * After this time new requests are given back. The last address answers have run out by then, and what begins later
-     * may not be done when the grace is over.
+     * New requests are rejected after this time. The last address responses have expired by then, and requests that
+     * begin later may not finish within the grace period.
      */
-    private static final long TAKE_MILLIS = 2_700;
-    /** Left of the grace when the process ends whatever still runs. */
-    private static final long LAST_MILLIS = 400;
+    private static final long ACCEPT_MILLIS = 2_700;
+    /** How long before the end of the grace period the process ends, whether or not requests are still in progress. */
+    private static final long EXIT_MARGIN_MILLIS = 400;
 
     /**
-     * Left for handing over a duty before the process may end: a slow store takes some hundred milliseconds for a call,
-     * and a renewal may be under way before the write. A duty that is not handed over in time vanishes with its lease.
+     * The time reserved for handing over the leader lease before the process may end. A slow store takes some hundred
+     * milliseconds for a call, and a renewal may be pending before the write. A lease that is not handed over in time
+     * expires, and its record vanishes with it.
      */
-    private static final long HAND_OVER_MILLIS = 1_300;
+    private static final long HANDOVER_MARGIN_MILLIS = 1_300;
 
-    private static final long CHECK_MILLIS = 50;
+    private static final long CHECK_INTERVAL_MILLIS = 50;
 
     private final Daemon daemon;
     private final CallerFront front;
     private final RouterPresence presence;
-    private final Duties duties;
+    private final LeaderTasks leaderTasks;
     private final long graceMillis;
-    private long begunAt = -1;
+    private long startedAt = -1;
 
-    Shutdown(Daemon daemon, CallerFront front, RouterPresence presence, Duties duties, Duration grace) {
+    Shutdown(Daemon daemon, CallerFront front, RouterPresence presence, LeaderTasks leaderTasks, Duration grace) {
         this.daemon = daemon;
         this.front = front;
         this.presence = presence;
-        this.duties = duties;
+        this.leaderTasks = leaderTasks;
         this.graceMillis = grace.toMillis();
     }
 
-    boolean begun() {
-        return begunAt >= 0;
+    boolean isStarted() {
+        return startedAt >= 0;
     }
 
     /**
-     * Tells whether new requests are given back.
+     * Returns whether new requests are rejected.
      *
-     * <p>Failure: a caller that kept an old answer sends a long request just before the process ends. Symptom: its
-     * stream is cut in the middle. A request that is given back at once has not run, and its caller goes to another
+     * <p>A caller that kept an outdated address may send a long request just before the process ends, and its stream
+     * would be cut in the middle. A request that is rejected at once has not run, so its caller can go to another
      * router.
      */
-    boolean givesBack() {
-        return begun() && daemon.clock().monotonicMillis() - begunAt > TAKE_MILLIS;
+    boolean rejectsNewRequests() {
+        return isStarted() && daemon.clock().monotonicMillis() - startedAt > ACCEPT_MILLIS;
     }
 
-    void begin() {
-        if (begun()) {
+    void start() {
+        if (isStarted()) {
             return;
         }
-        begunAt = daemon.clock().monotonicMillis();
-        logger.atInfo().with(Logs.DECISION, "stopping").log("the router leaves the list and finishes its requests");
+        startedAt = daemon.clock().monotonicMillis();
+        logger.atInfo().with(Logs.DECISION, "stopping").log("shutdown started, requests in progress are finished");
         front.drain();
         presence.leave();
-        duties.stop(Math.max(0, Math.min(LISTEN_MILLIS, graceMillis - LAST_MILLIS) - HAND_OVER_MILLIS));
-        check();
+        leaderTasks.stop(
+                Math.max(0, Math.min(MIN_LISTEN_MILLIS, graceMillis - EXIT_MARGIN_MILLIS) - HANDOVER_MARGIN_MILLIS));
+        checkFinished();
     }
 
-    private void check() {
-        long since = daemon.clock().monotonicMillis() - begunAt;
-        boolean done = since > LISTEN_MILLIS && front.inFlight() == 0;
-        if (done || since > graceMillis - LAST_MILLIS) {
+    private void checkFinished() {
+        long elapsedMillis = daemon.clock().monotonicMillis() - startedAt;
+        boolean done = elapsedMillis > MIN_LISTEN_MILLIS && front.inFlight() == 0;
+        if (done || elapsedMillis > graceMillis - EXIT_MARGIN_MILLIS) {
             front.stopListening();
             front.closeIdle();
             logger.atInfo()
                     .with(Logs.DECISION, "stopped")
-                    .with(Logs.INPUTS, "inFlight=" + front.inFlight() + " afterMillis=" + since)
-                    .log("the router ends");
-            daemon.reactor().delayBackground(CHECK_MILLIS, daemon::end);
+                    .with(Logs.INPUTS, "inFlight=" + front.inFlight() + " afterMillis=" + elapsedMillis)
+                    .log("shutdown finished");
+            daemon.reactor().delayBackground(CHECK_INTERVAL_MILLIS, daemon::end);
             return;
         }
-        daemon.reactor().delayBackground(CHECK_MILLIS, this::check);
+        daemon.reactor().delayBackground(CHECK_INTERVAL_MILLIS, this::checkFinished);
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Attempt.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Attempt.java
@@ -13,10 +13,10 @@
 import org.hornbeamhead.daemon.Logs;
 import org.hornbeamhead.gateway.replica.LiveReplica;
 import org.hornbeamhead.gateway.replica.ReplicaConnection;
-import org.hornbeamhead.gateway.replica.ReplicaListener;
+import org.hornbeamhead.gateway.replica.ResponseListener;
 
 /** One try of a request at one replica. */
-final class Attempt implements ReplicaListener {
+final class Attempt implements ResponseListener {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     /** A kept connection idle for longer may be closed by the replica just as the request is written. */
     private static final long SAFE_IDLE_MILLIS = 1_000;
@@ -84,16 +84,16 @@
                 MIN_CONNECTIONS,
                 exchange.dispatcher().part(exchange.subject().service().maxConnections()));
         request.noteSent();
-        replica.connections().take(idle, limit).subscribe((taken, e) -> {
+        replica.connections().acquire(idle, limit).subscribe((taken, e) -> {
             if (over) {
                 if (taken != null) {
-                    replica.connections().giveBack(taken);
+                    replica.connections().release(taken);
                 }
             } else if (e != null) {
                 replica.guard().unreachable(now());
                 end(AttemptEnd.NOT_SENT, "no connection: " + e.getMessage(), Optional.empty());
             } else if (weightsOutOfUse()) {
-                replica.connections().giveBack(taken);
+                replica.connections().release(taken);
                 end(AttemptEnd.NOT_SENT, "weights went out of use while it connected", Optional.empty());
             } else {
                 send(taken);
@@ -160,16 +160,16 @@
     }
 
     private void endSilent(long millis) {
-        replica.connections().distrustKept();
+        replica.connections().closeIdle();
         closeAndEnd(AttemptEnd.SILENT, "silent for " + millis + " ms");
     }
 
     @Override
-    public void head(ResponseHead came) {
+    public void onHead(ResponseHead came) {
         lastHeardAt = now();
         head = came;
         reply = exchange.dispatcher().dialect().reply(came, replica.entry().id());
-        reply.weights().ifPresent(replica::sawWeights);
+        reply.weights().ifPresent(replica::observeVersion);
         boolean own = reply.fromReplica() || reply.notRun() || reply.otherReplica();
         if (!own || (came.ok() && reply.requestId().isEmpty())) {
             closeAndEnd(AttemptEnd.BROKEN, "the answer bears no proof that it belongs to the request");
@@ -187,7 +187,7 @@
      * token. The head proves nothing, since it may come while the request still waits.
      */
     @Override
-    public Promise<Void> body(byte[] bytes) {
+    public Promise<Void> onBody(byte[] bytes) {
         lastHeardAt = now();
         if (over || bytes.length == 0) {
             return Promise.complete();
@@ -222,7 +222,7 @@
     }
 
     @Override
-    public void whole() {
+    public void onComplete() {
         if (over) {
             return;
         }
@@ -253,7 +253,7 @@
         stop();
         replica.guard().succeeded();
         exchange.completed();
-        replica.connections().giveBack(connection);
+        replica.connections().release(connection);
         if (streaming) {
             exchange.begin(head);
             exchange.answer().end();
@@ -264,7 +264,7 @@
     }
 
     @Override
-    public void broken(String why) {
+    public void onFailure(String why) {
         if (!over) {
             replica.guard().failed(now());
             end(AttemptEnd.BROKEN, why, Optional.empty());
@@ -280,7 +280,7 @@
     }
 
     private void endAndGiveBack(AttemptEnd how, String why, Optional<BufferedAnswer> failure) {
-        replica.connections().giveBack(connection);
+        replica.connections().release(connection);
         end(how, why, failure);
     }
 
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/TargetPicker.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/TargetPicker.java
@@ -50,14 +50,14 @@
     }
 
     boolean anyLeft(ServiceSpec service, Set<String> tried) {
-        return registry.of(service.name()).stream()
+        return registry.acceptingReplicas(service.name()).stream()
                 .anyMatch(r -> !tried.contains(r.entry().run()));
     }
 
     /** Replicas that failed lately are left out, unless that would leave none. */
     private List<LiveReplica> usable(ServiceSpec service, Set<String> tried) {
         long now = clock.monotonicMillis();
-        List<LiveReplica> all = registry.of(service.name()).stream()
+        List<LiveReplica> all = registry.acceptingReplicas(service.name()).stream()
                 .filter(r -> !tried.contains(r.entry().run()))
                 .toList();
         List<LiveReplica> sound =
@@ -70,7 +70,7 @@
         return usable.stream()
                 .min(Comparator.comparingInt((LiveReplica r) -> r.load().total(now))
                         .thenComparing(r -> !r.entry().dataCentre().equals(dataCentre))
-                        .thenComparingInt(r -> r.connections().open()))
+                        .thenComparingInt(r -> r.connections().openCount()))
                 .map(r -> new Target(r, Optional.empty(), Optional.empty(), "least load"));
     }
 
@@ -89,13 +89,13 @@
                 .map(r -> new EngineCandidate(
                         r.entry().run(),
                         r.entry().dataCentre(),
-                        r.weights(prompt.model()),
-                        weights.settled(prompt.model(), r.weights(prompt.model()), now),
+                        r.weightsVersion(prompt.model()),
+                        weights.settled(prompt.model(), r.weightsVersion(prompt.model()), now),
                         r.load(),
                         spec.memoryTokens(),
                         r.entry().slots(),
-                        weights.penalized(prompt.model(), r.weights(prompt.model()), now),
-                        weights.usableMillis(prompt.model(), r.weights(prompt.model()), now),
+                        weights.penalized(prompt.model(), r.weightsVersion(prompt.model()), now),
+                        weights.usableMillis(prompt.model(), r.weightsVersion(prompt.model()), now),
                         weights.steered(r.entry().run(), now)))
                 .toList();
         String wall = owner.filter(KeyOwner::isolated).map(KeyOwner::customer).orElse("");
@@ -153,7 +153,7 @@
         String salt = salt(prompt, wall, version);
         Optional<String> store = links.store(choice.beginning()).map(CacheLinks.Store::address);
         Optional<String> from =
-                choice.fetchFrom().flatMap(registry::get).map(r -> r.entry().address());
+                choice.fetchFrom().flatMap(registry::byRun).map(r -> r.entry().address());
         return new Target(
                 replica,
                 Optional.of(new SendOrder.EngineOrder(
--- a/gateway/src/main/java/org/hornbeamhead/gateway/duty/ChangeNotice.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/duty/ChangeNotifier.java
@@ -3,14 +3,14 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Tells all routers which replicas are about to change their weights. */
+/** Announces to all routers which replicas are about to change their weights. */
 @FunctionalInterface
-interface ChangeNotice {
+interface ChangeNotifier {
     /**
-     * Tells.
+     * Announces the current changes.
      *
-     * @param changing the replicas that are about to change, by their ids
-     * @param changed the version that replicas have changed to since the last notice
+     * @param changing the replicas that are about to change, by run
+     * @param changed the version that replicas have changed to since the last announcement, by run
      */
-    void tell(Set<String> changing, Map<String, Long> changed);
+    void announce(Set<String> changing, Map<String, Long> changed);
 }
--- /dev/null
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/duty/LeaderElection.java
@@ -0,0 +1,85 @@
+package org.hornbeamhead.gateway.duty;
+
+import java.util.function.IntSupplier;
+import org.hornbeamhead.core.time.Clock;
+
+/**
+ * Acquires the leader lease when it is needed and free, and computes when the new leader may send its first order.
+ * Routers try one after the other, in the order of their rank.
+ */
+final class LeaderElection {
+    /** The delay per rank before a router tries to acquire the lease, so that only one router tries at a time. */
+    private static final long RANK_DELAY_MILLIS = 250;
+
+    private final Clock clock;
+    private final LeaderLease lease;
+    private final IntSupplier rank;
+    private final long handoverPauseMillis;
+    private final Runnable onAcquired;
+    private long recordAbsentSince = -1;
+    private long neededSince = -1;
+    private long earliestOrderAt;
+
+    /**
+     * Creates an election in which this router does not take part yet.
+     *
+     * @param clock the clock
+     * @param lease the leader lease
+     * @param rank this router's place in the order in which routers try to acquire the lease, from 0
+     * @param handoverPauseMillis the minimum time between the orders of two leaders, in milliseconds
+     * @param onAcquired called when this router has acquired the lease
+     */
+    LeaderElection(Clock clock, LeaderLease lease, IntSupplier rank, long handoverPauseMillis, Runnable onAcquired) {
+        this.clock = clock;
+        this.lease = lease;
+        this.rank = rank;
+        this.handoverPauseMillis = handoverPauseMillis;
+        this.onAcquired = onAcquired;
+    }
+
+    /** Records whether there are orders to send. Must be called while the lease is held as well. */
+    void recordNeed(boolean needed) {
+        neededSince = needed ? (neededSince < 0 ? now() : neededSince) : -1;
+    }
+
+    /** Returns the time from which the leader that acquired the lease may send orders. */
+    long earliestOrderAt() {
+        return earliestOrderAt;
+    }
+
+    void tryAcquire(boolean needed) {
+        if (lease.record().isPresent()) {
+            recordAbsentSince = -1;
+            if (needed && isOwnTurn(neededSince)) {
+                lease.availableFrom().ifPresent(this::acquire);
+            }
+            return;
+        }
+        recordAbsentSince = recordAbsentSince < 0 ? now() : recordAbsentSince;
+        boolean longAbsent = now() - recordAbsentSince > handoverPauseMillis;
+        if (needed && isOwnTurn(Math.max(neededSince, recordAbsentSince))) {
+            acquire(recordAbsentSince + handoverPauseMillis - LeaderLease.SAFETY_MARGIN_MILLIS);
+        } else if (!needed && longAbsent && isOwnTurn(recordAbsentSince + handoverPauseMillis)) {
+            lease.markFree().subscribe((v, e) -> recordAbsentSince = -1);
+        }
+    }
+
+    private boolean isOwnTurn(long since) {
+        return now() - since >= rank.getAsInt() * RANK_DELAY_MILLIS;
+    }
+
+    private void acquire(long earliestOrder) {
+        lease.tryAcquire().subscribe((acquired, e) -> {
+            if (e == null && acquired) {
+                earliestOrderAt = earliestOrder;
+                onAcquired.run();
+            } else {
+                neededSince = now();
+            }
+        });
+    }
+
+    private long now() {
+        return clock.monotonicMillis();
+    }
+}
--- a/gateway/src/main/java/org/hornbeamhead/gateway/duty/SteerNotice.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/duty/PeerChangeNotifier.java
@@ -24,75 +24,77 @@
 import org.hornbeamhead.gateway.state.WeightsView;
 
 /**
- * Tells the routers with work which replicas are about to change their weights, and which have done so.
+ * Announces to the routers that have work which replicas are about to change their weights and which have done so.
  *
- * <p>Failure: a replica that waits for its runs to end refuses new requests, and routers learn of it one refusal at a
- * time. Symptom: each change of weights uses up the budget of repeats. A notice that is lost costs only such refusals.
+ * <p>A replica that waits for its requests in progress refuses new ones. Without an announcement, routers would learn
+ * this from one refusal after the other, and each change of weights would use up the retry budget. A lost announcement
+ * costs only such refusals.
  */
-public final class SteerNotice implements ChangeNotice {
-    /** The path at which routers take notices. */
+public final class PeerChangeNotifier implements ChangeNotifier {
+    /** The path at which routers receive announcements. */
     public static final String PATH = "/v1/weights";
 
     private static final Duration TIMEOUT = Duration.ofMillis(500);
     private static final int MAX_BYTES = 1 << 20;
 
     private final Clock clock;
-    private final HttpCaller caller;
+    private final HttpCaller client;
     private final Supplier<List<String>> peers;
     private final WeightsView weights;
     private final ReplicaRegistry registry;
 
     /**
-     * Makes a notice board.
+     * Creates a notifier.
      *
      * @param reactor the thread's reactor
      * @param clock the clock
-     * @param peers where other routers are told
-     * @param weights takes the notices
+     * @param peers the addresses of the routers to notify
+     * @param weights records which replicas are about to change
      * @param registry the replicas
      */
-    public SteerNotice(
+    public PeerChangeNotifier(
             NioReactor reactor,
             Clock clock,
             Supplier<List<String>> peers,
             WeightsView weights,
             ReplicaRegistry registry) {
         this.clock = clock;
-        this.caller = HttpCaller.connectingAnew(reactor);
+        this.client = HttpCaller.connectingAnew(reactor);
         this.peers = peers;
         this.weights = weights;
         this.registry = registry;
     }
 
     @Override
-    public void tell(Set<String> changing, Map<String, Long> changed) {
+    public void announce(Set<String> changing, Map<String, Long> changed) {
         weights.steerAway(changing, clock.monotonicMillis());
         ObjectNode tree = Json.object();
-        ArrayNode list = tree.putArray("changing");
-        changing.forEach(list::add);
-        ObjectNode done = tree.putObject("changed");
-        changed.forEach(done::put);
+        ArrayNode changingNode = tree.putArray("changing");
+        changing.forEach(changingNode::add);
+        ObjectNode changedNode = tree.putObject("changed");
+        changed.forEach(changedNode::put);
         String text = Json.write(tree);
-        peers.get().forEach(p -> caller.call(HttpMethod.POST, "http://" + p + PATH, text, TIMEOUT));
+        peers.get().forEach(peer -> client.call(HttpMethod.POST, "http://" + peer + PATH, text, TIMEOUT));
     }
 
     /**
-     * Takes another router's notice.
+     * Handles an announcement of another router.
      *
-     * @param request the notice
-     * @return an empty answer
+     * @param request the announcement
+     * @return an empty response
      */
-    public Promise<HttpResponse> answer(HttpRequest request) {
+    public Promise<HttpResponse> handle(HttpRequest request) {
         return request.loadBody(MAX_BYTES).then(body -> Json.parse(body.getString(StandardCharsets.UTF_8))
-                .fold(why -> HttpAnswers.text(400, "text/plain", why + "\n"), this::take));
+                .fold(reason -> HttpAnswers.text(400, "text/plain", reason + "\n"), this::apply));
     }
 
-    private Promise<HttpResponse> take(JsonNode tree) {
+    private Promise<HttpResponse> apply(JsonNode tree) {
         Set<String> changing = new HashSet<>();
-        tree.path("changing").forEach(n -> changing.add(n.asText()));
+        tree.path("changing").forEach(node -> changing.add(node.asText()));
         weights.steerAway(changing, clock.monotonicMillis());
-        tree.path("changed").fields().forEachRemaining(f -> registry.get(f.getKey())
-                .ifPresent((LiveReplica r) -> r.sawWeights(f.getValue().asLong())));
+        tree.path("changed").fields().forEachRemaining(field -> registry.byRun(field.getKey())
+                .ifPresent((LiveReplica replica) ->
+                        replica.observeVersion(field.getValue().asLong())));
         return HttpAnswers.text(200, "text/plain", "");
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/duty/WeightsChange.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/duty/WeightsChange.java
@@ -1,34 +1,37 @@
 package org.hornbeamhead.gateway.duty;
 
-/** One replica's change to a named version, as the holder of the duty follows it. */
+/** The change of one replica to a target version, as the leader tracks it. */
 final class WeightsChange {
     final String model;
     final long version;
-    /** Routers have had the time to hear of it. */
-    boolean noticed;
+    /** Whether routers have had the time to receive the announcement. */
+    boolean announced;
 
-    boolean asked;
-    /** When it was chosen, or ordered last. */
-    long at;
+    boolean ordered;
+    /** When the change was last ordered, or when it was selected if it has not been ordered. */
+    long orderedAt;
 
-    long reportedAt;
-    /** A question is under way; another one beside it would cost twice, and the older answer might come last. */
-    boolean asking;
+    long reportRequestedAt;
+    /**
+     * Whether a report is being fetched. A second request at the same time would cost twice as much, and the older
+     * report might arrive last.
+     */
+    boolean reportPending;
 
-    boolean silent;
+    boolean unresponsive;
 
-    WeightsChange(String model, long version, long at) {
+    WeightsChange(String model, long version, long orderedAt) {
         this.model = model;
         this.version = version;
-        this.at = at;
+        this.orderedAt = orderedAt;
     }
 
-    /** The same change, not ordered yet, to a version that was named since. */
-    WeightsChange towards(long newer) {
-        WeightsChange change = new WeightsChange(model, newer, at);
-        change.noticed = noticed;
-        change.reportedAt = reportedAt;
-        change.silent = silent;
+    /** Returns the same change, not ordered yet, to a newer version. */
+    WeightsChange retarget(long newer) {
+        WeightsChange change = new WeightsChange(model, newer, orderedAt);
+        change.announced = announced;
+        change.reportRequestedAt = reportRequestedAt;
+        change.unresponsive = unresponsive;
         return change;
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/duty/WeightsRollout.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/duty/WeightsRollout.java
@@ -13,161 +13,179 @@
 import org.hornbeamhead.core.weights.WeightsReplica;
 import org.hornbeamhead.gateway.replica.LiveReplica;
 
-/** The changes that the holder of the duty has begun: which come next, and which have ended. */
+/** The changes that the leader has started: selects the next ones and removes those that have finished. */
 final class WeightsRollout {
-    /** Routers hear a notice within a round trip; a replica is ordered only then. */
-    private static final long NOTICE_MILLIS = 20;
+    /** An announcement reaches routers within a round trip; the replica gets its order only after that. */
+    private static final long ANNOUNCEMENT_DELAY_MILLIS = 20;
 
-    /** How long a change lasts at least: a load of 1.2 s was over 1.3 s after its order, shorter ones wait for runs. */
-    private static final long USUAL_CHANGE_MILLIS = 1_300;
-    /** The shortest of so many changes tells how long loads take here; the others waited for their runs as well. */
-    private static final int CHANGES_LOOKED_AT = 4;
+    /**
+     * The shortest expected duration of a change. A load of 1.2 s is over 1.3 s after its order, and shorter loads wait
+     * for requests in progress.
+     */
+    private static final long MIN_CHANGE_MILLIS = 1_300;
+    /**
+     * The shortest of this many recent changes shows how long a load takes. The others also waited for requests in
+     * progress.
+     */
+    private static final int RECENT_CHANGES = 4;
 
-    private final WeightsDuty.Parts parts;
-    private final ChangeNotice notice;
-    private final ChangeOrders orders;
+    private final RolloutCoordinator.Dependencies dependencies;
+    private final ChangeNotifier notifier;
+    private final OrderTracker orderTracker;
     private final Map<String, WeightsChange> changes = new HashMap<>();
-    private final Deque<Long> lastChanges = new ArrayDeque<>();
+    private final Deque<Long> recentDurations = new ArrayDeque<>();
 
     /**
-     * Makes a roll-out without changes.
+     * Creates a rollout without changes.
      *
-     * @param parts what the duty works with
-     * @param lease the right to order
-     * @param notice tells other routers
+     * @param dependencies the dependencies of the coordinator
+     * @param lease the leader lease
+     * @param notifier announces changes to other routers
      */
-    WeightsRollout(WeightsDuty.Parts parts, DutyLease lease, ChangeNotice notice) {
-        this.parts = parts;
-        this.notice = notice;
-        this.orders = new ChangeOrders(parts.clock(), parts.orders(), lease, parts.self(), changes::remove);
+    WeightsRollout(RolloutCoordinator.Dependencies dependencies, LeaderLease lease, ChangeNotifier notifier) {
+        this.dependencies = dependencies;
+        this.notifier = notifier;
+        this.orderTracker = new OrderTracker(
+                dependencies.clock(), dependencies.orderClient(), lease, dependencies.self(), changes::remove);
     }
 
-    /** Tells whether a change is under way or replicas are behind what is named. */
-    boolean needed() {
+    /** Returns whether a change is in progress or a replica serves an older version than the target. */
+    boolean isNeeded() {
         return !changes.isEmpty()
-                || parts.weights().all().entrySet().stream().anyMatch(e -> behind(e.getKey(), e.getValue()));
+                || dependencies.weights().all().entrySet().stream()
+                        .anyMatch(e -> hasOutdatedReplica(e.getKey(), e.getValue()));
     }
 
     long lastOrderAt() {
-        return orders.lastOrderAt();
+        return orderTracker.lastOrderAt();
     }
 
-    /** The duty is no longer held. */
-    void drop() {
+    /** Drops all changes, since this router is no longer the leader. */
+    void clear() {
         changes.clear();
     }
 
-    /** The duty was won: what was known before does not count. */
-    void restart() {
+    /** Drops all changes and reports, since this router has just become the leader and they may be outdated. */
+    void reset() {
         changes.clear();
-        orders.forget();
+        orderTracker.reset();
     }
 
     void advance() {
-        dropEnded();
-        skipReplaced();
-        begin();
-        changes.forEach((id, c) -> parts.registry().get(id).ifPresent(replica -> orders.follow(replica, c)));
+        removeFinished();
+        retargetSuperseded();
+        startChanges();
+        changes.forEach((run, change) ->
+                dependencies.registry().byRun(run).ifPresent(replica -> orderTracker.advance(replica, change)));
     }
 
     /**
-     * Failure: a version is named before a replica was ordered to serve the one before, or while its order is lost.
-     * Symptom: it loads weights that are already replaced, and is away from its callers twice.
+     * Directs changes that have not been ordered, or whose order was lost, to the newest target version. Otherwise a
+     * replica would load weights that are already superseded and be unavailable to callers twice.
      */
-    private void skipReplaced() {
-        changes.replaceAll((id, c) -> {
-            long newest = parts.weights().named(c.model);
-            return c.asked || c.asking || c.version >= newest ? c : c.towards(newest);
+    private void retargetSuperseded() {
+        changes.replaceAll((run, change) -> {
+            long target = dependencies.weights().named(change.model);
+            return change.ordered || change.reportPending || change.version >= target
+                    ? change
+                    : change.retarget(target);
         });
     }
 
-    private void dropEnded() {
-        Map<String, Long> done = new HashMap<>();
-        Set<String> gone = new HashSet<>();
-        changes.forEach((id, c) -> {
-            Optional<LiveReplica> replica = parts.registry().get(id);
+    private void removeFinished() {
+        Map<String, Long> finished = new HashMap<>();
+        Set<String> removed = new HashSet<>();
+        changes.forEach((run, change) -> {
+            Optional<LiveReplica> replica = dependencies.registry().byRun(run);
             if (replica.isEmpty()) {
-                gone.add(id);
-            } else if (replica.get().weights(c.model) >= c.version) {
-                done.put(id, c.version);
-                noteDuration(c);
+                removed.add(run);
+            } else if (replica.get().weightsVersion(change.model) >= change.version) {
+                finished.put(run, change.version);
+                recordDuration(change);
             }
         });
-        if (!done.isEmpty() || !gone.isEmpty()) {
-            changes.keySet().removeAll(done.keySet());
-            changes.keySet().removeAll(gone);
-            notice.tell(Set.copyOf(changes.keySet()), done);
+        if (!finished.isEmpty() || !removed.isEmpty()) {
+            changes.keySet().removeAll(finished.keySet());
+            changes.keySet().removeAll(removed);
+            notifier.announce(Set.copyOf(changes.keySet()), finished);
         }
     }
 
-    private void noteDuration(WeightsChange c) {
-        if (c.asked) {
-            lastChanges.addLast(now() - c.at);
+    private void recordDuration(WeightsChange change) {
+        if (change.ordered) {
+            recentDurations.addLast(now() - change.orderedAt);
         }
-        if (lastChanges.size() > CHANGES_LOOKED_AT) {
-            lastChanges.removeFirst();
+        if (recentDurations.size() > RECENT_CHANGES) {
+            recentDurations.removeFirst();
         }
     }
 
-    private long changeMillis() {
-        long shortest = lastChanges.stream().mapToLong(Long::longValue).min().orElse(USUAL_CHANGE_MILLIS);
-        return Math.max(USUAL_CHANGE_MILLIS, shortest);
+    private long expectedChangeMillis() {
+        long shortest =
+                recentDurations.stream().mapToLong(Long::longValue).min().orElse(MIN_CHANGE_MILLIS);
+        return Math.max(MIN_CHANGE_MILLIS, shortest);
     }
 
-    private boolean behind(String model, long version) {
-        return serving(model).stream().anyMatch(r -> r.weights(model) < version);
+    private boolean hasOutdatedReplica(String model, long version) {
+        return servingReplicas(model).stream().anyMatch(replica -> replica.weightsVersion(model) < version);
     }
 
-    private List<LiveReplica> serving(String model) {
-        return parts.registry().all().stream()
-                .filter(r -> r.takesWork() && r.weights(model) > 0)
+    private List<LiveReplica> servingReplicas(String model) {
+        return dependencies.registry().all().stream()
+                .filter(replica -> replica.acceptsRequests() && replica.weightsVersion(model) > 0)
                 .toList();
     }
 
-    private void begin() {
-        List<String> chosen = new ArrayList<>();
-        parts.weights().all().forEach((model, version) -> {
-            List<WeightsReplica> all = serving(model).stream()
-                    .filter(r -> !silent(r.entry().run()))
-                    .map(r -> seen(r, model))
+    private void startChanges() {
+        List<String> selected = new ArrayList<>();
+        dependencies.weights().all().forEach((model, version) -> {
+            List<WeightsReplica> replicas = servingReplicas(model).stream()
+                    .filter(replica -> !isUnresponsive(replica.entry().run()))
+                    .map(replica -> toWeightsReplica(replica, model))
                     .toList();
-            parts.plan().next(all, version, changing(), changeMillis()).forEach(r -> {
-                changes.put(r.id(), new WeightsChange(model, version, now()));
-                chosen.add(r.id());
-            });
+            dependencies
+                    .plan()
+                    .next(replicas, version, changingReplicas(), expectedChangeMillis())
+                    .forEach(replica -> {
+                        changes.put(replica.id(), new WeightsChange(model, version, now()));
+                        selected.add(replica.id());
+                    });
         });
-        if (!chosen.isEmpty()) {
-            notice.tell(Set.copyOf(changes.keySet()), Map.of());
-            parts.timers().schedule(NOTICE_MILLIS, () -> chosen.stream()
+        if (!selected.isEmpty()) {
+            notifier.announce(Set.copyOf(changes.keySet()), Map.of());
+            dependencies.timers().schedule(ANNOUNCEMENT_DELAY_MILLIS, () -> selected.stream()
                     .filter(changes::containsKey)
-                    .forEach(id -> changes.get(id).noticed = true));
+                    .forEach(run -> changes.get(run).announced = true));
         }
     }
 
-    private WeightsReplica seen(LiveReplica replica, String model) {
-        long version = replica.weights(model);
+    private WeightsReplica toWeightsReplica(LiveReplica replica, String model) {
+        long version = replica.weightsVersion(model);
         return new WeightsReplica(
-                replica.entry().run(), version, parts.weights().usableMillis(model, version, now()), used(replica));
+                replica.entry().run(),
+                version,
+                dependencies.weights().usableMillis(model, version, now()),
+                memoryUse(replica));
     }
 
     /**
-     * Failure: a replica lost its power and is still listed. Symptom: it is asked for its report in vain, and the
-     * change of the others waits for it. It serves nobody, so it is neither counted nor waited for.
+     * Returns whether a replica with a change in progress does not report. A replica that lost its power is still
+     * listed, and other changes would wait for it. It serves no requests, so it is neither counted nor waited for.
      */
-    private boolean silent(String id) {
-        return changes.containsKey(id) && changes.get(id).silent;
+    private boolean isUnresponsive(String run) {
+        return changes.containsKey(run) && changes.get(run).unresponsive;
     }
 
-    private Set<String> changing() {
-        return changes.keySet().stream().filter(id -> !silent(id)).collect(Collectors.toSet());
+    private Set<String> changingReplicas() {
+        return changes.keySet().stream().filter(run -> !isUnresponsive(run)).collect(Collectors.toSet());
     }
 
-    private double used(LiveReplica replica) {
+    private double memoryUse(LiveReplica replica) {
         return (double) replica.load().memoryTokens(now())
-                / parts.memoryTokens().applyAsLong(replica.entry().service());
+                / dependencies.memoryTokens().applyAsLong(replica.entry().service());
     }
 
     private long now() {
-        return parts.clock().monotonicMillis();
+        return dependencies.clock().monotonicMillis();
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/package-info.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A router that forwards requests byte for byte between callers and replicas. The dialect of headers, the source of
- * configuration and the platform's store are passed in as ports.
+ * A router that forwards requests unchanged, byte for byte, between callers and replicas. The header dialect, the
+ * configuration source and the platform's store are passed in as ports.
  */
 package org.hornbeamhead.gateway;
--- a/gateway/src/main/java/org/hornbeamhead/gateway/quarantine/CrashWitness.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/quarantine/CrashWitness.java
@@ -136,7 +136,7 @@
     }
 
     private void check(LiveReplica replica, Loss loss, Runnable otherwise) {
-        replica.connections().refused().whenResult(refused -> {
+        replica.connections().refusesConnections().whenResult(refused -> {
             if (refused) {
                 loss.silent.forEach(loss.broken::putIfAbsent);
                 ended(replica, loss, "it refuses connections");
--- a/gateway/src/main/java/org/hornbeamhead/gateway/quarantine/Quarantine.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/quarantine/Quarantine.java
@@ -75,7 +75,7 @@
     /** Starts to see replicas go, and to hear of what other routers saw. */
     public void start() {
         history.listen(this::changed);
-        parts.registry().onGone(witness::gone);
+        parts.registry().onRemoved(witness::gone);
         parts.datagrams().listen((from, bytes) -> gossip.receive(bytes));
         parts.metrics().gauge("hornbeam_requests_held_back", history::held);
     }
@@ -98,7 +98,7 @@
 
     private void crashed(LostRun run, LiveReplica replica) {
         parts.metrics().count("hornbeam_requests_at_crash");
-        history.crashed(run, replica.hash());
+        history.crashed(run, replica.runHash());
         archive.crashSeen();
     }
 
--- a/gateway/src/main/java/org/hornbeamhead/gateway/replica/LiveReplica.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/replica/LiveReplica.java
@@ -4,45 +4,46 @@
 import org.hornbeamhead.core.replica.ReplicaEntry;
 import org.hornbeamhead.core.retry.OutlierGuard;
 
-/** One run of a replica, as this router knows it: its entry, its connections, its work, its failures. */
+/** One run of a replica as this router knows it: its entry, connections, load and failures. */
 public final class LiveReplica {
-    private final ReplicaConnections connections;
+    private final ReplicaConnectionPool connections;
     private final EngineLoad load = new EngineLoad();
     private final OutlierGuard guard = new OutlierGuard();
     private ReplicaEntry entry;
-    private long knownWeights;
-    private boolean withheld;
+    private long observedVersion;
+    private boolean entryInvalid;
 
-    LiveReplica(ReplicaEntry entry, ReplicaConnections connections) {
+    LiveReplica(ReplicaEntry entry, ReplicaConnectionPool connections) {
         this.entry = entry;
         this.connections = connections;
     }
 
     void update(ReplicaEntry newer) {
         entry = newer;
-        withheld = false;
+        entryInvalid = false;
     }
 
-    /** The registry names this replica in a way that nobody can read: it gets nothing until its next good entry. */
-    void withhold() {
-        withheld = true;
+    /** Excludes the replica from new requests until its next readable entry, since its current entry cannot be read. */
+    void markEntryInvalid() {
+        entryInvalid = true;
     }
 
-    boolean isRenewedBy(ReplicaEntry newer) {
-        return !withheld && entry.equals(newer);
+    boolean isUnchangedBy(ReplicaEntry newer) {
+        return !entryInvalid && entry.equals(newer);
     }
 
     /**
-     * Names the run in few bytes, so that what other routers tell of an earlier run is not taken for this one.
+     * Returns a compact identifier of the run. Other routers send it in their hints, so that hints for an earlier run
+     * are not applied to this one.
      *
      * @return a hash of the run's name
      */
-    public int hash() {
+    public int runHash() {
         return entry.run().hashCode();
     }
 
     /**
-     * Returns the registry's entry.
+     * Returns the entry in the registry.
      *
      * @return the newest entry
      */
@@ -51,25 +52,25 @@
     }
 
     /**
-     * Returns the connections.
+     * Returns the connection pool.
      *
      * @return this router's connections to the replica
      */
-    public ReplicaConnections connections() {
+    public ReplicaConnectionPool connections() {
         return connections;
     }
 
     /**
-     * Returns the work at the replica.
+     * Returns the load.
      *
-     * @return the load as this router knows it
+     * @return the load of the replica as this router knows it
      */
     public EngineLoad load() {
         return load;
     }
 
     /**
-     * Returns the record of failures.
+     * Returns the guard that ejects the replica after failures.
      *
      * @return the guard
      */
@@ -78,31 +79,31 @@
     }
 
     /**
-     * Tells which weights the replica serves. An answer or the holder of the duty may tell a change before the registry
-     * does; versions only rise during one run.
+     * Returns the version of the weights that the replica serves. A response of the replica or an announcement of the
+     * leader may show a change before the registry does; versions only rise during a run.
      *
      * @param model the model
-     * @return the version, 0 when it does not serve the model
+     * @return the version, 0 when the replica does not serve the model
      */
-    public long weights(String model) {
-        return Math.max(knownWeights, entry.weights().getOrDefault(model, 0L));
+    public long weightsVersion(String model) {
+        return Math.max(observedVersion, entry.weights().getOrDefault(model, 0L));
     }
 
     /**
-     * Notes a version that was seen at the replica.
+     * Records a version that the replica was seen to serve.
      *
      * @param version the version
      */
-    public void sawWeights(long version) {
-        knownWeights = Math.max(knownWeights, version);
+    public void observeVersion(long version) {
+        observedVersion = Math.max(observedVersion, version);
     }
 
     /**
-     * Tells whether new requests may go there.
+     * Returns whether the replica accepts new requests.
      *
-     * @return false for a replica that leaves, or whose entry cannot be read
+     * @return false for a replica that drains or whose entry cannot be read
      */
-    public boolean takesWork() {
-        return !entry.draining() && !withheld;
+    public boolean acceptsRequests() {
+        return !entry.draining() && !entryInvalid;
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/replica/NoConnectionException.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/replica/NoConnectionException.java
@@ -1,6 +1,6 @@
 package org.hornbeamhead.gateway.replica;
 
-/** No connection to a replica may be opened now. */
+/** Thrown when all connections to a replica are in use and no further one may be opened. */
 public final class NoConnectionException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/gateway/src/main/java/org/hornbeamhead/gateway/replica/ReplicaConnection.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/replica/ReplicaConnection.java
@@ -15,32 +15,35 @@
 import org.hornbeamhead.core.http.ResponseReader;
 
 /**
- * One connection to a replica, with one request at a time.
+ * A connection to a replica that carries one request at a time.
  *
- * <p>A read is always pending. Failure: a replica closes an idle connection, or sends a second answer on it. Symptom:
- * the next request is lost, or gets another request's answer. Bytes or an end that nobody waits for close the
- * connection, and an answer that names another request is skipped.
+ * <p>A read is always pending, because a replica may close an idle connection or send a second response on it.
+ * Unnoticed, the next request would be lost or get the response to another request. Unexpected bytes or the end of the
+ * stream close the connection, and a response that names another request is skipped.
  */
 public final class ReplicaConnection {
-    private static final SocketSettings SETTINGS =
+    private static final SocketSettings SOCKET_SETTINGS =
             SocketSettings.builder().withTcpNoDelay(true).build();
-    private static final long DEFAULT_IDLE_MILLIS = 4_000;
-    /** The replica counts its idle time from its own last byte; a request sent this late could cross its close. */
-    private static final double USED_PART_OF_IDLE = 0.5;
+    private static final long DEFAULT_IDLE_TIMEOUT_MILLIS = 4_000;
+    /**
+     * The replica counts its idle time from the last byte that it sent. A request that is sent after this part of the
+     * idle timeout could cross the replica's close.
+     */
+    private static final double REUSABLE_IDLE_FRACTION = 0.5;
 
-    private static final int MILLIS = 1_000;
+    private static final int MILLIS_PER_SECOND = 1_000;
 
     private final ITcpSocket socket;
     private final Runnable onClosed;
-    private ReplicaListener listener;
-    private Predicate<ResponseHead> belongs;
+    private ResponseListener listener;
+    private Predicate<ResponseHead> matchesRequest;
     private String method;
     private ResponseReader reader;
-    private boolean headGiven;
-    private boolean written;
+    private boolean headDelivered;
+    private boolean requestWritten;
     private boolean closed;
     private boolean keepAlive = true;
-    private long idleMillis = DEFAULT_IDLE_MILLIS;
+    private long idleTimeoutMillis = DEFAULT_IDLE_TIMEOUT_MILLIS;
     private long idleSince;
 
     private ReplicaConnection(ITcpSocket socket, Runnable onClosed) {
@@ -52,14 +55,14 @@
      * Opens a connection.
      *
      * @param reactor the thread's reactor
-     * @param address the replica
-     * @param timeout how long opening may take
+     * @param address the replica's address
+     * @param timeout the connect timeout
      * @param onClosed called once when the connection is closed
      * @return the connection
      */
     static Promise<ReplicaConnection> open(
             NioReactor reactor, InetSocketAddress address, Duration timeout, Runnable onClosed) {
-        return TcpSocket.connect(reactor, address, timeout, SETTINGS).map(socket -> {
+        return TcpSocket.connect(reactor, address, timeout, SOCKET_SETTINGS).map(socket -> {
             ReplicaConnection connection = new ReplicaConnection(socket, onClosed);
             connection.read();
             return connection;
@@ -70,27 +73,28 @@
      * Sends a request.
      *
      * @param message the whole request
-     * @param requestMethod its method
-     * @param belongsTo tells from a head whether the answer belongs to this request
-     * @param hears hears the answer
+     * @param requestMethod the method of the request
+     * @param matches tests by its head whether a response belongs to this request
+     * @param responseListener receives the response
      */
-    public void send(byte[] message, String requestMethod, Predicate<ResponseHead> belongsTo, ReplicaListener hears) {
+    public void send(
+            byte[] message, String requestMethod, Predicate<ResponseHead> matches, ResponseListener responseListener) {
         method = requestMethod;
-        belongs = belongsTo;
-        listener = hears;
-        written = false;
-        nextAnswer();
+        matchesRequest = matches;
+        listener = responseListener;
+        requestWritten = false;
+        expectResponse();
         socket.write(ByteBuf.wrapForReading(message)).subscribe((v, e) -> {
-            written = true;
+            requestWritten = true;
             if (e != null) {
-                breakOff("the request could not be written: " + e.getMessage());
+                fail("the request could not be written: " + e.getMessage());
             }
         });
     }
 
-    private void nextAnswer() {
+    private void expectResponse() {
         reader = new ResponseReader(method);
-        headGiven = false;
+        headDelivered = false;
     }
 
     private void read() {
@@ -100,36 +104,36 @@
                     buf.recycle();
                 }
             } else if (e != null) {
-                breakOff("the connection was reset: " + e.getMessage());
+                fail("the connection was reset: " + e.getMessage());
             } else if (buf == null) {
-                ended();
+                onEndOfStream();
             } else {
-                received(Bytes.of(buf.asArray()));
+                onBytes(Bytes.of(buf.asArray()));
             }
         });
     }
 
-    private void ended() {
-        if (listener != null && reader.endsWithConnection() && headGiven) {
-            ReplicaListener l = listener;
+    private void onEndOfStream() {
+        if (listener != null && reader.endsWithConnection() && headDelivered) {
+            ResponseListener currentListener = listener;
             listener = null;
             close();
-            l.whole();
+            currentListener.onComplete();
         } else {
-            breakOff("the replica closed the connection");
+            fail("the replica closed the connection");
         }
     }
 
-    private void received(Bytes in) {
+    private void onBytes(Bytes input) {
         if (listener == null) {
             close();
             return;
         }
         byte[] body;
         try {
-            body = reader.feed(in);
+            body = reader.feed(input);
         } catch (BadMessageException e) {
-            breakOff("no answer in the protocol: " + e.getMessage());
+            fail("no answer in the protocol: " + e.getMessage());
             return;
         }
         if (reader.head().isEmpty()) {
@@ -137,41 +141,41 @@
             return;
         }
         ResponseHead head = reader.head().get();
-        if (!belongs.test(head)) {
-            skip(in);
+        if (!matchesRequest.test(head)) {
+            skipResponse(input);
             return;
         }
-        giveHead(head);
+        deliverHead(head);
         if (closed) {
             return;
         }
-        deliver(body, in.remaining() > 0);
+        deliverBody(body, input.remaining() > 0);
     }
 
-    /** An answer to an earlier request came late; the one that is waited for follows it. */
-    private void skip(Bytes in) {
+    /** Skips a late response to an earlier request; the expected one follows it. */
+    private void skipResponse(Bytes input) {
         if (!reader.done()) {
             if (reader.endsWithConnection()) {
-                breakOff("an answer to another request came, without its length");
+                fail("an answer to another request came, without its length");
             } else {
                 read();
             }
             return;
         }
-        nextAnswer();
-        if (in.remaining() > 0) {
-            received(in);
+        expectResponse();
+        if (input.remaining() > 0) {
+            onBytes(input);
         } else {
             read();
         }
     }
 
-    private void giveHead(ResponseHead head) {
-        if (!headGiven) {
-            headGiven = true;
+    private void deliverHead(ResponseHead head) {
+        if (!headDelivered) {
+            headDelivered = true;
             keepAlive = head.keepAlive();
-            idleMillis = idleTimeout(head);
-            listener.head(head);
+            idleTimeoutMillis = idleTimeout(head);
+            listener.onHead(head);
         }
     }
 
@@ -181,54 +185,55 @@
                 .filter(v -> v.startsWith("timeout="))
                 .map(v -> v.substring("timeout=".length()).split(",", -1)[0].trim())
                 .filter(v -> !v.isEmpty() && v.length() < 6 && v.chars().allMatch(Character::isDigit))
-                .map(v -> Long.parseLong(v) * MILLIS)
-                .orElse(DEFAULT_IDLE_MILLIS);
+                .map(v -> Long.parseLong(v) * MILLIS_PER_SECOND)
+                .orElse(DEFAULT_IDLE_TIMEOUT_MILLIS);
     }
 
-    private void deliver(byte[] body, boolean extra) {
-        ReplicaListener l = listener;
-        if (l == null) {
+    private void deliverBody(byte[] body, boolean hasExtraBytes) {
+        ResponseListener currentListener = listener;
+        if (currentListener == null) {
             return;
         }
-        l.body(body).subscribe((v, e) -> {
+        currentListener.onBody(body).subscribe((v, e) -> {
             if (closed) {
                 return;
             }
             if (e != null) {
                 close();
             } else if (reader.done()) {
-                finish(extra);
+                completeResponse(hasExtraBytes);
             } else {
                 read();
             }
         });
     }
 
-    private void finish(boolean extra) {
-        ReplicaListener l = listener;
+    private void completeResponse(boolean hasExtraBytes) {
+        ResponseListener currentListener = listener;
         listener = null;
-        // Bytes after the answer, or an answer before the whole request was read, leave the connection out of step.
-        if (extra || !keepAlive || !written) {
+        // After bytes that follow the response, or a response that came before the whole request was written, the
+        // connection cannot be reused.
+        if (hasExtraBytes || !keepAlive || !requestWritten) {
             close();
         } else {
             read();
         }
-        l.whole();
+        currentListener.onComplete();
     }
 
-    private void breakOff(String why) {
+    private void fail(String reason) {
         if (closed) {
             return;
         }
-        ReplicaListener l = listener;
+        ResponseListener currentListener = listener;
         listener = null;
         close();
-        if (l != null) {
-            l.broken(why);
+        if (currentListener != null) {
+            currentListener.onFailure(reason);
         }
     }
 
-    /** Closes the connection; a request under way is given up without a word to its listener. */
+    /** Closes the connection. The listener of a request in progress is not notified. */
     public void close() {
         if (!closed) {
             closed = true;
@@ -238,20 +243,20 @@
         }
     }
 
-    void idleFrom(long nowMillis) {
+    void markIdle(long nowMillis) {
         idleSince = nowMillis;
     }
 
     /**
-     * Tells whether a request may be sent without meeting the replica's close.
+     * Returns whether a request may be sent on this connection without the risk that the replica is closing it.
      *
      * @param nowMillis the monotonic time
-     * @param atMostIdle the longest idle time that the request may risk, in milliseconds
-     * @return whether the connection is open and was used lately
+     * @param atMostIdle the longest idle time that is acceptable for the request, in milliseconds
+     * @return whether the connection is open and was used recently enough
      */
-    boolean usable(long nowMillis, long atMostIdle) {
+    boolean isReusable(long nowMillis, long atMostIdle) {
         long idle = nowMillis - idleSince;
-        return !closed && idle < idleMillis * USED_PART_OF_IDLE && idle < atMostIdle;
+        return !closed && idle < idleTimeoutMillis * REUSABLE_IDLE_FRACTION && idle < atMostIdle;
     }
 
     boolean isClosed() {
--- a/gateway/src/main/java/org/hornbeamhead/gateway/replica/ReplicaRegistry.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/replica/ReplicaRegistry.java
@@ -14,26 +14,27 @@
 import org.hornbeamhead.daemon.Logs;
 
 /**
- * The replicas that are listed.
+ * The listed replicas.
  *
- * <p>Failure: a replica starts again under the id that it had, and keeps its place in the registry. Symptom: prompts go
- * where their beginnings no longer are, orders name a number of earlier orders that the new run has not had, and the
- * failures of the old run leave the new one out. Each run is a replica of its own here: a later start takes the place
- * of the one before, and news of an earlier start is dropped, in whatever order they come.
+ * <p>A replica may restart under the same id and keep its place in the registry. If both runs were treated as one
+ * replica, prompts would be sent where their prefixes are no longer cached, orders would expect a number of accepted
+ * orders that the new run has not had, and the new run would stay ejected for failures of the old one. Each run is
+ * therefore a replica of its own: a later run replaces the earlier one, and entries of an earlier run are ignored, in
+ * whatever order they arrive.
  */
 public final class ReplicaRegistry {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final long SWEEP_MILLIS = 1_000;
+    private static final long SWEEP_INTERVAL_MILLIS = 1_000;
 
     private final NioReactor reactor;
     private final Clock clock;
-    private final Map<String, LiveReplica> replicas = new HashMap<>();
+    private final Map<String, LiveReplica> byId = new HashMap<>();
     private final Map<String, LiveReplica> byRun = new HashMap<>();
-    private final Map<Integer, LiveReplica> byHash = new HashMap<>();
-    private Consumer<LiveReplica> onGone = r -> {};
+    private final Map<Integer, LiveReplica> byRunHash = new HashMap<>();
+    private Consumer<LiveReplica> onRemoved = replica -> {};
 
     /**
-     * Makes an empty registry.
+     * Creates an empty registry.
      *
      * @param reactor the thread's reactor
      * @param clock the clock
@@ -45,29 +46,29 @@
     }
 
     /**
-     * Tells of each run of a replica that is dropped from now on.
+     * Sets the listener for removals.
      *
-     * @param listener takes it
+     * @param listener called with each run of a replica that is removed from now on
      */
-    public void onGone(Consumer<LiveReplica> listener) {
-        onGone = listener;
+    public void onRemoved(Consumer<LiveReplica> listener) {
+        onRemoved = listener;
     }
 
     private void sweep() {
-        replicas.values().forEach(r -> r.connections().closeStale());
-        reactor.delayBackground(SWEEP_MILLIS, this::sweep);
+        byId.values().forEach(replica -> replica.connections().closeExpired());
+        reactor.delayBackground(SWEEP_INTERVAL_MILLIS, this::sweep);
     }
 
     /**
-     * Takes over an entry.
+     * Adds or updates a replica.
      *
-     * @param entry the entry
-     * @param revision the revision at which it was written, for the log
-     * @return false when it only renews what is known of the replica
+     * @param entry the replica's entry
+     * @param revision the revision at which the entry was written, for the log
+     * @return false when the entry only repeats what is known of the replica
      */
     public boolean put(ReplicaEntry entry, long revision) {
-        LiveReplica known = replicas.get(entry.id());
-        boolean renewal = known != null && known.isRenewedBy(entry);
+        LiveReplica known = byId.get(entry.id());
+        boolean renewal = known != null && known.isUnchangedBy(entry);
         if (known == null) {
             add(entry, revision);
         } else if (known.entry().startedAt() == entry.startedAt()) {
@@ -86,97 +87,99 @@
 
     private void add(ReplicaEntry entry, long revision) {
         Addresses.parse(entry.address())
-                .peekLeft(why -> logger.atWarning().log("replica %s is left out: %s", entry.id(), why))
+                .peekLeft(reason ->
+                        logger.atWarning().log("replica %s is ignored, its address is invalid: %s", entry.id(), reason))
                 .forEach(address -> {
-                    ReplicaConnections connections = new ReplicaConnections(reactor, clock, address);
-                    LiveReplica live = new LiveReplica(entry, connections);
-                    replicas.put(entry.id(), live);
-                    byRun.put(entry.run(), live);
-                    byHash.put(live.hash(), live);
+                    ReplicaConnectionPool connections = new ReplicaConnectionPool(reactor, clock, address);
+                    LiveReplica replica = new LiveReplica(entry, connections);
+                    byId.put(entry.id(), replica);
+                    byRun.put(entry.run(), replica);
+                    byRunHash.put(replica.runHash(), replica);
                     log("replica listed", entry, revision);
                 });
     }
 
     /**
-     * Drops a replica whose entry is gone. Requests under way there go on.
+     * Removes a replica whose entry was deleted. Its requests in progress continue.
      *
      * @param id the replica
-     * @param revision the revision at which the entry went, for the log
+     * @param revision the revision at which the entry was deleted, for the log
      */
     public void remove(String id, long revision) {
-        LiveReplica gone = replicas.remove(id);
-        if (gone != null) {
-            byRun.remove(gone.entry().run());
-            byHash.remove(gone.hash());
-            gone.connections().retire();
-            log("replica gone", gone.entry(), revision);
-            onGone.accept(gone);
+        LiveReplica removed = byId.remove(id);
+        if (removed != null) {
+            byRun.remove(removed.entry().run());
+            byRunHash.remove(removed.runHash());
+            removed.connections().close();
+            log("replica gone", removed.entry(), revision);
+            onRemoved.accept(removed);
         }
     }
 
     /**
-     * Sends nothing more to a replica whose entry cannot be read, until a good entry comes. What is known of it stays.
+     * Excludes a replica whose entry cannot be read from new requests, until a readable entry arrives. Its state is
+     * kept.
      *
      * @param id the replica
      * @param revision the revision at which the entry was written, for the log
      */
-    public void withhold(String id, long revision) {
-        LiveReplica known = replicas.get(id);
+    public void markEntryInvalid(String id, long revision) {
+        LiveReplica known = byId.get(id);
         if (known != null) {
-            known.withhold();
+            known.markEntryInvalid();
             log("replica withheld", known.entry(), revision);
         }
     }
 
-    private static void log(String what, ReplicaEntry entry, long revision) {
+    private static void log(String decision, ReplicaEntry entry, long revision) {
         logger.atInfo()
-                .with(Logs.DECISION, what)
+                .with(Logs.DECISION, decision)
                 .with(Logs.REPLICA, entry.id())
                 .with(
                         Logs.INPUTS,
                         "service=" + entry.service() + " address=" + entry.address() + " startedAt=" + entry.startedAt()
                                 + " revision=" + revision)
-                .log("%s: %s", what, entry.id());
+                .log("%s: %s", decision, entry.id());
     }
 
     /**
-     * Finds a run of a replica.
+     * Looks up a run of a replica.
      *
-     * @param run its name
+     * @param run the name of the run
      * @return the replica, empty when that run is not listed
      */
-    public Optional<LiveReplica> get(String run) {
+    public Optional<LiveReplica> byRun(String run) {
         return Optional.ofNullable(byRun.get(run));
     }
 
     /**
-     * Finds a run of a replica by the hash of its name.
+     * Looks up a run of a replica by the hash of its name.
      *
      * @param hash the hash
-     * @return the replica, empty when none is listed
+     * @return the replica, empty when that run is not listed
      */
-    public Optional<LiveReplica> byHash(int hash) {
-        return Optional.ofNullable(byHash.get(hash));
+    public Optional<LiveReplica> byRunHash(int hash) {
+        return Optional.ofNullable(byRunHash.get(hash));
     }
 
     /**
-     * Lists the replicas of a service that take work.
+     * Returns the replicas of a service that accept requests.
      *
      * @param service the service
-     * @return the replicas, those that failed lately included
+     * @return the replicas, including those that failed recently
      */
-    public List<LiveReplica> of(String service) {
-        return replicas.values().stream()
-                .filter(r -> r.entry().service().equals(service) && r.takesWork())
+    public List<LiveReplica> acceptingReplicas(String service) {
+        return byId.values().stream()
+                .filter(replica -> replica.entry().service().equals(service) && replica.acceptsRequests())
                 .toList();
     }
 
     /**
-     * Lists all replicas.
+     * Returns all replicas.
      *
-     * @return the replicas, those that leave included
+     * @return the replicas, including those that drain
      */
     public Collection<LiveReplica> all() {
-        return List.copyOf(replicas.values());
+        return List.copyOf(byId.values());
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/WorkHints.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/WorkHints.java
@@ -89,7 +89,7 @@
     public void sent(LiveReplica replica, EngineChoice choice) {
         int read = (int) Math.round(choice.readMillis());
         int store = (int) Math.round(choice.storeMillis());
-        sends.add(new WorkHint.Send(replica.hash(), choice.beginning(), read, store));
+        sends.add(new WorkHint.Send(replica.runHash(), choice.beginning(), read, store));
         if (idle) {
             nextFlush.cancel();
             flushIn(FLUSH_MILLIS);
@@ -106,7 +106,7 @@
         List<WorkHint.Total> totals = registry.all().stream()
                 .filter(r -> r.load().own() > 0)
                 .map(r -> new WorkHint.Total(
-                        r.hash(),
+                        r.runHash(),
                         r.load().own(),
                         r.load().ownLongAnswers(),
                         r.load().ownMemoryTokens()))
@@ -149,9 +149,9 @@
         if (hint.requestsPerSecond() > 0 || !hint.sends().isEmpty()) {
             working.heard(from, hint.requestsPerSecond(), now);
         }
-        hint.totals().forEach(t -> registry.byHash(t.replica())
+        hint.totals().forEach(t -> registry.byRunHash(t.replica())
                 .ifPresent(r -> r.load().hinted(from, t.running(), t.longAnswers(), t.memoryTokens(), now)));
-        hint.sends().forEach(s -> registry.byHash(s.replica()).ifPresent(r -> {
+        hint.sends().forEach(s -> registry.byRunHash(s.replica()).ifPresent(r -> {
             r.load().hinted(s.readMillis(), now);
             onSend.accept(r, s);
         }));
--- a/gateway/src/test/java/org/hornbeamhead/gateway/duty/FakePlatformStore.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/duty/FakePlatformStore.java
@@ -16,13 +16,13 @@
 import org.hornbeamhead.core.mirror.StoreMirror;
 import org.hornbeamhead.gateway.state.PlatformStore;
 
-/** A store of one mirror that answers at once, and whose leases end when the test says so. */
+/** A store behind one mirror that answers at once. Its leases expire when the test says so. */
 final class FakePlatformStore implements PlatformStore {
     private final StoreMirror mirror;
     private final Set<String> leases = new HashSet<>();
-    private final Map<String, String> leaseOf = new HashMap<>();
-    private final List<Runnable> waiting = new ArrayList<>();
-    boolean writesWait;
+    private final Map<String, String> leaseByKey = new HashMap<>();
+    private final List<Runnable> delayedWrites = new ArrayList<>();
+    boolean delayWrites;
     private long revision = 1;
     private int nextLease = 1;
 
@@ -30,9 +30,9 @@
         this.mirror = mirror;
     }
 
-    /** The lease with which a key lives ends, if it lives with one. */
-    void lapse(String key) {
-        Optional.ofNullable(leaseOf.get(key)).ifPresent(this::end);
+    /** Expires the lease that a key was written with, if there is one. */
+    void expireLeaseOf(String key) {
+        Optional.ofNullable(leaseByKey.get(key)).ifPresent(this::end);
     }
 
     @Override
@@ -45,35 +45,35 @@
         throw new UnsupportedOperationException();
     }
 
-    boolean writeWaits() {
-        return !waiting.isEmpty();
+    boolean hasDelayedWrites() {
+        return !delayedWrites.isEmpty();
     }
 
-    /** Writes are carried out and answered only from now on. */
-    void writeWhatWaits() {
-        writesWait = false;
-        List.copyOf(waiting).forEach(Runnable::run);
-        waiting.clear();
+    /** Performs and answers the delayed writes, and delays no further ones. */
+    void performDelayedWrites() {
+        delayWrites = false;
+        List.copyOf(delayedWrites).forEach(Runnable::run);
+        delayedWrites.clear();
     }
 
     @Override
     public Promise<WriteReply> write(String key, OptionalLong expected, String value, Optional<String> lease) {
-        if (!writesWait) {
+        if (!delayWrites) {
             return writeNow(key, expected, value, lease);
         }
-        SettablePromise<WriteReply> later = new SettablePromise<>();
-        waiting.add(() -> writeNow(key, expected, value, lease).subscribe(later::set));
-        return later;
+        SettablePromise<WriteReply> reply = new SettablePromise<>();
+        delayedWrites.add(() -> writeNow(key, expected, value, lease).subscribe(reply::set));
+        return reply;
     }
 
     private Promise<WriteReply> writeNow(String key, OptionalLong expected, String value, Optional<String> lease) {
-        long now = mirror.get(key).map(StoreItem::revision).orElse(0L);
-        if (expected.isPresent() && expected.getAsLong() != now) {
+        long current = mirror.get(key).map(StoreItem::revision).orElse(0L);
+        if (expected.isPresent() && expected.getAsLong() != current) {
             return Promise.of(new WriteReply.Conflict(mirror.get(key)));
         }
         StoreItem item = new StoreItem(key, ++revision, value, false);
-        leaseOf.remove(key);
-        lease.ifPresent(l -> leaseOf.put(key, l));
+        leaseByKey.remove(key);
+        lease.ifPresent(id -> leaseByKey.put(key, id));
         mirror.apply(new StoreChanges(List.of(item), revision, false));
         return Promise.of(new WriteReply.Written(revision));
     }
@@ -93,15 +93,15 @@
     @Override
     public Promise<Void> end(String lease) {
         leases.remove(lease);
-        List<String> gone = leaseOf.keySet().stream()
-                .filter(key -> leaseOf.get(key).equals(lease))
+        List<String> expiredKeys = leaseByKey.keySet().stream()
+                .filter(key -> leaseByKey.get(key).equals(lease))
                 .toList();
-        gone.forEach(this::remove);
+        expiredKeys.forEach(this::remove);
         return Promise.complete();
     }
 
     private void remove(String key) {
-        leaseOf.remove(key);
+        leaseByKey.remove(key);
         mirror.apply(new StoreChanges(List.of(new StoreItem(key, ++revision, "", true)), revision, false));
     }
 }
--- a/gateway/src/test/java/org/hornbeamhead/gateway/duty/FakeReplicas.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/duty/FakeReplicas.java
@@ -15,35 +15,35 @@
 import org.hornbeamhead.gateway.replica.ReplicaRegistry;
 
 /**
- * Replicas of one model that take orders: each carries out one at a time, refuses any other meanwhile and any that
- * expects another number of orders, and serves the ordered version once its load is over.
+ * Replicas of one model that accept orders. Each carries out one order at a time, refuses other orders meanwhile and
+ * any order that expects another number of accepted orders, and serves the ordered version once its load is over.
  */
-final class FakeReplicas implements ReplicaOrders {
+final class FakeReplicas implements ReplicaOrderClient {
     static final String MODEL = "m";
 
-    record Given(String replica, WeightsOrder order, long at) {}
+    record SentOrder(String replica, WeightsOrder order, long sentAt) {}
 
-    final List<Given> given = new ArrayList<>();
-    final Set<String> dark = new HashSet<>();
+    final List<SentOrder> sentOrders = new ArrayList<>();
+    final Set<String> unreachable = new HashSet<>();
     long reportedStart = 1;
     long listedStart = 1;
-    boolean ordersAreLost;
-    boolean reportsHang;
-    int reportsAsked;
+    boolean loseOrders;
+    boolean hangReports;
+    int reportRequests;
 
     private final Clock clock;
     private final LongSupplier loadMillis;
-    private final Map<String, Loading> loads = new HashMap<>();
-    private final Map<String, Long> accepted = new HashMap<>();
+    private final Map<String, Load> loads = new HashMap<>();
+    private final Map<String, Long> acceptedOrders = new HashMap<>();
 
-    private record Loading(long before, long version, long doneAt) {}
+    private record Load(long previousVersion, long version, long endsAt) {}
 
     FakeReplicas(Clock clock, LongSupplier loadMillis) {
         this.clock = clock;
         this.loadMillis = loadMillis;
     }
 
-    void list(int count, ReplicaRegistry registry) {
+    void register(int count, ReplicaRegistry registry) {
         IntStream.range(0, count)
                 .forEach(i -> registry.put(
                         new ReplicaEntry(
@@ -52,58 +52,58 @@
     }
 
     long version(String id) {
-        Loading l = loads.get(id);
-        if (l == null) {
+        Load load = loads.get(id);
+        if (load == null) {
             return 1;
         }
-        return loading(id) ? l.before() : l.version();
+        return isLoading(id) ? load.previousVersion() : load.version();
     }
 
-    boolean loading(String id) {
-        Loading l = loads.get(id);
-        return l != null && clock.monotonicMillis() < l.doneAt();
+    boolean isLoading(String id) {
+        Load load = loads.get(id);
+        return load != null && clock.monotonicMillis() < load.endsAt();
     }
 
-    /** When the replica's last load was over or will be; 0 when it never had one. */
-    long loadedAt(String id) {
-        Loading l = loads.get(id);
-        return l == null ? 0 : l.doneAt();
+    /** Returns when the replica's last load ended or will end; 0 when it never had one. */
+    long loadEndsAt(String id) {
+        Load load = loads.get(id);
+        return load == null ? 0 : load.endsAt();
     }
 
-    /** The version by replica of those that have changed. */
-    Map<String, Long> changed() {
-        Map<String, Long> changed = new HashMap<>();
-        loads.keySet().stream().filter(id -> version(id) > 1).forEach(id -> changed.put(id, version(id)));
-        return changed;
+    /** Returns the version by replica, for those that have changed. */
+    Map<String, Long> changedVersions() {
+        Map<String, Long> versions = new HashMap<>();
+        loads.keySet().stream().filter(id -> version(id) > 1).forEach(id -> versions.put(id, version(id)));
+        return versions;
     }
 
     @Override
-    public Promise<Reply> give(ReplicaEntry replica, WeightsOrder order) {
+    public Promise<Reply> sendOrder(ReplicaEntry replica, WeightsOrder order) {
         String id = replica.id();
-        given.add(new Given(id, order, clock.monotonicMillis()));
-        if (ordersAreLost || dark.contains(id)) {
+        sentOrders.add(new SentOrder(id, order, clock.monotonicMillis()));
+        if (loseOrders || unreachable.contains(id)) {
             return Promise.ofException(new IllegalStateException("no answer"));
         }
-        if (loading(id) || order.ordersBefore() != accepted.getOrDefault(id, 0L)) {
+        if (isLoading(id) || order.ordersBefore() != acceptedOrders.getOrDefault(id, 0L)) {
             return Promise.of(Reply.CONFLICT);
         }
-        accepted.merge(id, 1L, Long::sum);
-        long doneAt = clock.monotonicMillis() + loadMillis.getAsLong();
-        loads.put(id, new Loading(version(id), order.version(), doneAt));
+        acceptedOrders.merge(id, 1L, Long::sum);
+        long endsAt = clock.monotonicMillis() + loadMillis.getAsLong();
+        loads.put(id, new Load(version(id), order.version(), endsAt));
         return Promise.of(Reply.ACCEPTED);
     }
 
     @Override
-    public Promise<Report> report(ReplicaEntry replica) {
+    public Promise<Report> fetchReport(ReplicaEntry replica) {
         String id = replica.id();
-        reportsAsked++;
-        if (reportsHang) {
+        reportRequests++;
+        if (hangReports) {
             return new SettablePromise<>();
         }
-        if (dark.contains(id)) {
+        if (unreachable.contains(id)) {
             return Promise.ofException(new IllegalStateException("no answer"));
         }
         Map<String, Long> weights = Map.of(MODEL, version(id));
-        return Promise.of(new Report(reportedStart, weights, loading(id), accepted.getOrDefault(id, 0L)));
+        return Promise.of(new Report(reportedStart, weights, isLoading(id), acceptedOrders.getOrDefault(id, 0L)));
     }
 }
--- /dev/null
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/duty/RolloutTestBed.java
@@ -0,0 +1,107 @@
+package org.hornbeamhead.gateway.duty;
+
+import io.activej.eventloop.Eventloop;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.LongSupplier;
+import org.hornbeamhead.core.mirror.StoreChanges;
+import org.hornbeamhead.core.mirror.StoreMirror;
+import org.hornbeamhead.core.time.ManualClock;
+import org.hornbeamhead.core.time.ManualTimers;
+import org.hornbeamhead.core.time.Timers;
+import org.hornbeamhead.core.weights.RolloutPlan;
+import org.hornbeamhead.gateway.replica.ReplicaRegistry;
+import org.hornbeamhead.gateway.state.WeightsView;
+
+/** Routers that share a clock, a store, the target versions and the replicas. */
+final class RolloutTestBed {
+    static final long PAUSE_MILLIS = 3_000;
+    static final int MEMORY_TOKENS = 90_000;
+
+    final ManualClock clock = new ManualClock(1_000_000);
+    final StoreMirror mirror = new StoreMirror();
+    final FakePlatformStore store = new FakePlatformStore(mirror);
+    final FakeReplicas replicas;
+    final ManualTimers timers = new ManualTimers(clock);
+
+    private final int replicaCount;
+    private final long limitMillis;
+    private final WeightsView weights;
+    private final List<Router> routers = new ArrayList<>();
+
+    RolloutTestBed(int replicaCount, long limitMillis, LongSupplier loadMillis) {
+        this.replicaCount = replicaCount;
+        this.limitMillis = limitMillis;
+        replicas = new FakeReplicas(clock, loadMillis);
+        weights = new WeightsView(limitMillis);
+        setTargetVersion(1);
+    }
+
+    /** A router's rollout coordinator and its view of the replicas. */
+    static final class Router {
+        final RolloutCoordinator coordinator;
+        final ReplicaRegistry registry;
+        private boolean killed;
+
+        private Router(RolloutTestBed testBed, String name, int rank, StoreMirror routerMirror) {
+            registry =
+                    new ReplicaRegistry(Eventloop.builder().withCurrentThread().build(), testBed.clock);
+            testBed.replicas.register(testBed.replicaCount, registry);
+            RolloutCoordinator.Dependencies dependencies = new RolloutCoordinator.Dependencies(
+                    this.timers(testBed.timers),
+                    testBed.clock,
+                    registry,
+                    testBed.weights,
+                    testBed.replicas,
+                    new RolloutPlan(2, testBed.limitMillis),
+                    () -> rank,
+                    service -> MEMORY_TOKENS,
+                    name,
+                    PAUSE_MILLIS);
+            LeaderLease lease = new LeaderLease(testBed.clock, testBed.store, routerMirror, name);
+            coordinator = new RolloutCoordinator(dependencies, lease, (changing, changed) -> {});
+            coordinator.start();
+            testBed.routers.add(this);
+        }
+
+        private Timers timers(Timers shared) {
+            return (delay, action) -> shared.schedule(delay, () -> {
+                if (!killed) {
+                    action.run();
+                }
+            });
+        }
+
+        /** Stops all timers of the router. */
+        void kill() {
+            killed = true;
+        }
+    }
+
+    Router startRouter(String name, int rank) {
+        return new Router(this, name, rank, mirror);
+    }
+
+    /** Starts a router that receives each change of the store with a delay. */
+    Router startDelayedRouter(String name, int rank, long storeDelayMillis) {
+        StoreMirror routerMirror = new StoreMirror();
+        routerMirror.apply(mirror.since(0));
+        mirror.listen(item -> timers.schedule(
+                storeDelayMillis, () -> routerMirror.apply(new StoreChanges(List.of(item), item.revision(), false))));
+        return new Router(this, name, rank, routerMirror);
+    }
+
+    /** Expires the lease of a router that was killed. A record that was written without a lease stays. */
+    void expireLeaseOf(String holder) {
+        new LeaderLease(clock, store, mirror, "")
+                .record()
+                .filter(r -> r.holder().equals(holder))
+                .ifPresent(r -> store.expireLeaseOf(LeaderLease.KEY));
+    }
+
+    /** Sets the target version and notifies the routers. */
+    void setTargetVersion(long version) {
+        weights.name(FakeReplicas.MODEL, version, clock.monotonicMillis());
+        routers.stream().filter(r -> !r.killed).forEach(r -> r.coordinator.wakeUp());
+    }
+}
--- a/gateway/src/test/java/org/hornbeamhead/gateway/quarantine/CrashWitnessTest.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/quarantine/CrashWitnessTest.java
@@ -46,7 +46,7 @@
         server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
         reported = new ArrayList<>();
         witness = new CrashWitness(clock, this::checkLater, (run, replica) -> reported.add(run));
-        registry.onGone(witness::gone);
+        registry.onRemoved(witness::gone);
         list(false);
     }
 
--- a/gateway/src/test/java/org/hornbeamhead/gateway/replica/ReplicaRegistryTest.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/replica/ReplicaRegistryTest.java
@@ -18,8 +18,8 @@
 import org.testng.annotations.Test;
 
 public class ReplicaRegistryTest {
-    private static final ReplicaEntry FIRST = entry(1_000, 5);
-    private static final ReplicaEntry SECOND = entry(2_000, 4);
+    private static final ReplicaEntry FIRST_RUN = entry(1_000, 5);
+    private static final ReplicaEntry SECOND_RUN = entry(2_000, 4);
 
     private final ManualClock clock = new ManualClock(10_000);
     private ReplicaRegistry registry;
@@ -29,12 +29,12 @@
     }
 
     @BeforeMethod
-    public void begin() {
+    public void setUp() {
         registry = new ReplicaRegistry(Eventloop.builder().withCurrentThread().build(), clock);
     }
 
-    private LiveReplica only() {
-        List<LiveReplica> all = registry.of("lm");
+    private LiveReplica onlyReplica() {
+        List<LiveReplica> all = registry.acceptingReplicas("lm");
         assertEquals(all.size(), 1);
         return all.get(0);
     }
@@ -42,75 +42,79 @@
     @DataProvider
     public Object[][] orders() {
         return new Object[][] {
-            {"in order", List.of(FIRST, SECOND)},
-            {"the first one again, late", List.of(FIRST, SECOND, FIRST)},
-            {"the second one twice", List.of(FIRST, SECOND, SECOND)},
-            {"the second one first", List.of(SECOND, FIRST)},
-            {"by turns", List.of(FIRST, SECOND, FIRST, SECOND, FIRST)},
+            {"in order", List.of(FIRST_RUN, SECOND_RUN)},
+            {"first run repeated late", List.of(FIRST_RUN, SECOND_RUN, FIRST_RUN)},
+            {"second run twice", List.of(FIRST_RUN, SECOND_RUN, SECOND_RUN)},
+            {"second run first", List.of(SECOND_RUN, FIRST_RUN)},
+            {"in alternation", List.of(FIRST_RUN, SECOND_RUN, FIRST_RUN, SECOND_RUN, FIRST_RUN)},
         };
     }
 
     /**
-     * A replica crashes and starts again under the id that it had, with empty memory and the weights of its image.
-     * Callers would see prompts sent where their beginnings were lost, requests turned away for weights that the
-     * replica no longer has, and the new run left out for the failures of the old one. In whatever order the news of
-     * the two runs comes, the later run is listed, and nothing that was believed of the earlier one holds for it.
+     * A replica crashes and restarts under the same id, with empty memory and the weights of its image. If the state of
+     * the earlier run were kept, prompts would be sent where their prefixes are no longer cached, requests would be
+     * rejected for weights that the replica no longer has, and the new run would stay ejected for the failures of the
+     * old one. In whatever order the entries of the two runs arrive, the later run is listed, without any state of the
+     * earlier one.
      */
     @Test(dataProvider = "orders")
-    public void theLaterRunIsListedAndBeginsWithNothing(String name, List<ReplicaEntry> news) {
-        news.stream().limit(1).forEach(e -> registry.put(e, 1));
-        LiveReplica before = only();
-        before.sawWeights(9);
+    public void laterRunReplacesEarlierRunWithoutItsState(String description, List<ReplicaEntry> entries) {
+        entries.stream().limit(1).forEach(e -> registry.put(e, 1));
+        LiveReplica before = onlyReplica();
+        before.observeVersion(9);
         before.load().sent("q", 100, 1_000, true, clock.monotonicMillis());
         before.guard().unreachable(clock.monotonicMillis());
-        news.stream().skip(1).forEach(e -> registry.put(e, 2));
-        LiveReplica now = only();
-        assertEquals(now.entry().startedAt(), SECOND.startedAt(), name);
-        if (news.get(0).equals(FIRST)) {
-            assertNotSame(now, before);
-            assertEquals(now.weights("m"), 4);
-            assertEquals(now.load().total(clock.monotonicMillis()), 0);
-            assertFalse(now.guard().ejected(clock.monotonicMillis()));
+        entries.stream().skip(1).forEach(e -> registry.put(e, 2));
+        LiveReplica after = onlyReplica();
+        assertEquals(after.entry().startedAt(), SECOND_RUN.startedAt(), description);
+        if (entries.get(0).equals(FIRST_RUN)) {
+            assertNotSame(after, before);
+            assertEquals(after.weightsVersion("m"), 4);
+            assertEquals(after.load().total(clock.monotonicMillis()), 0);
+            assertFalse(after.guard().ejected(clock.monotonicMillis()));
         } else {
-            assertSame(now, before);
+            assertSame(after, before);
         }
     }
 
-    /** Another router tells of work that it gave to the earlier run. It must not count as work of the later one. */
+    /**
+     * Another router sends a hint about work that it sent to the earlier run. It must not count as work of the later
+     * run.
+     */
     @Test
-    public void whatOthersTellOfTheEarlierRunIsNotFound() {
-        registry.put(FIRST, 1);
-        LiveReplica before = only();
-        registry.put(SECOND, 2);
-        assertTrue(registry.byHash(before.hash()).isEmpty());
-        assertTrue(registry.get(FIRST.run()).isEmpty());
-        assertNotEquals(before.hash(), only().hash());
-        assertSame(registry.get(SECOND.run()).orElseThrow(), only());
+    public void earlierRunIsNoLongerFound() {
+        registry.put(FIRST_RUN, 1);
+        LiveReplica before = onlyReplica();
+        registry.put(SECOND_RUN, 2);
+        assertTrue(registry.byRunHash(before.runHash()).isEmpty());
+        assertTrue(registry.byRun(FIRST_RUN.run()).isEmpty());
+        assertNotEquals(before.runHash(), onlyReplica().runHash());
+        assertSame(registry.byRun(SECOND_RUN.run()).orElseThrow(), onlyReplica());
     }
 
-    /** Heartbeats repeat an entry; what is known of the run stays. */
+    /** Heartbeats repeat an entry. The state of the run must be kept. */
     @Test
-    public void theSameRunKeepsWhatIsKnown() {
-        registry.put(FIRST, 1);
-        LiveReplica before = only();
-        before.sawWeights(9);
+    public void repeatedEntryOfSameRunKeepsState() {
+        registry.put(FIRST_RUN, 1);
+        LiveReplica before = onlyReplica();
+        before.observeVersion(9);
         registry.put(entry(1_000, 6), 2);
-        assertSame(only(), before);
-        assertEquals(only().weights("m"), 9);
+        assertSame(onlyReplica(), before);
+        assertEquals(onlyReplica().weightsVersion("m"), 9);
     }
 
     /**
-     * Something else overwrites a replica's entry with what nobody can read. It names no replica to use, so the replica
-     * gets nothing until its next heartbeat, and the others go on.
+     * A replica's entry is overwritten with a value that cannot be parsed. The replica gets no requests until its next
+     * heartbeat, and the other replicas are not affected.
      */
     @Test
-    public void anEntryThatCannotBeReadHoldsBackItsReplicaAlone() {
-        registry.put(FIRST, 1);
+    public void unreadableEntryExcludesOnlyItsReplica() {
+        registry.put(FIRST_RUN, 1);
         registry.put(new ReplicaEntry("s", 1, "lm", "10.0.0.2:80", "z", false, 8, Map.of("m", 5L)), 2);
-        registry.withhold("r", 3);
-        registry.withhold("nobody", 4);
-        assertEquals(Stream.of(only()).map(r -> r.entry().id()).toList(), List.of("s"));
-        registry.put(FIRST, 5);
-        assertEquals(registry.of("lm").size(), 2);
+        registry.markEntryInvalid("r", 3);
+        registry.markEntryInvalid("nobody", 4);
+        assertEquals(Stream.of(onlyReplica()).map(r -> r.entry().id()).toList(), List.of("s"));
+        registry.put(FIRST_RUN, 5);
+        assertEquals(registry.acceptingReplicas("lm").size(), 2);
     }
 }
