--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Attempt.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Attempt.java
@@ -13,10 +13,10 @@
 import org.hornbeamhead.daemon.Logs;
 import org.hornbeamhead.gateway.replica.LiveReplica;
 import org.hornbeamhead.gateway.replica.ReplicaConnection;
-import org.hornbeamhead.gateway.replica.ReplicaListener;
+import org.hornbeamhead.gateway.replica.ResponseListener;
 
 /** One attempt to run a request at one replica. */
-final class Attempt implements ReplicaListener {
+final class Attempt implements ResponseListener {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     /**
      * The longest idle time of a reused connection; the replica may close one that was idle for longer just as the
@@ -96,16 +96,16 @@
                 exchange.dispatcher()
                         .localShare(exchange.serviceRequest().service().maxConnections()));
         request.recordSent();
-        replica.connections().take(maxIdle, maxConnections).subscribe((acquired, e) -> {
+        replica.connections().acquire(maxIdle, maxConnections).subscribe((acquired, e) -> {
             if (ended) {
                 if (acquired != null) {
-                    replica.connections().giveBack(acquired);
+                    replica.connections().release(acquired);
                 }
             } else if (e != null) {
                 replica.guard().recordConnectFailure(now());
                 end(AttemptOutcome.NOT_SENT, "no connection: " + e.getMessage(), Optional.empty());
             } else if (weightsExpired()) {
-                replica.connections().giveBack(acquired);
+                replica.connections().release(acquired);
                 end(AttemptOutcome.NOT_SENT, "weights went out of use while it connected", Optional.empty());
             } else {
                 send(acquired);
@@ -180,18 +180,18 @@
     }
 
     private void endAsSilent(long millis) {
-        replica.connections().distrustKept();
+        replica.connections().closeIdle();
         closeAndEnd(AttemptOutcome.SILENT, "silent for " + millis + " ms");
     }
 
     @Override
-    public void head(ResponseHead received) {
+    public void onHead(ResponseHead received) {
         lastHeardAt = now();
         head = received;
         responseInfo = exchange.dispatcher()
                 .headerCodec()
                 .decodeResponse(received, replica.entry().id());
-        responseInfo.weightsVersion().ifPresent(replica::sawWeights);
+        responseInfo.weightsVersion().ifPresent(replica::observeVersion);
         boolean attributable = responseInfo.fromReplica() || responseInfo.notExecuted() || responseInfo.wrongReplica();
         if (!attributable || (received.ok() && responseInfo.requestId().isEmpty())) {
             closeAndEnd(AttemptOutcome.BROKEN, "the answer bears no proof that it belongs to the request");
@@ -209,7 +209,7 @@
      * sends them with its first token. The head proves nothing, since it may be sent while the request is still queued.
      */
     @Override
-    public Promise<Void> body(byte[] bytes) {
+    public Promise<Void> onBody(byte[] bytes) {
         lastHeardAt = now();
         if (ended || bytes.length == 0) {
             return Promise.complete();
@@ -244,7 +244,7 @@
     }
 
     @Override
-    public void whole() {
+    public void onComplete() {
         if (ended) {
             return;
         }
@@ -275,7 +275,7 @@
         stop();
         replica.guard().recordSuccess();
         exchange.recordCompletion();
-        replica.connections().giveBack(connection);
+        replica.connections().release(connection);
         if (streaming) {
             exchange.beginResponse(head);
             exchange.response().end();
@@ -286,7 +286,7 @@
     }
 
     @Override
-    public void broken(String reason) {
+    public void onFailure(String reason) {
         if (!ended) {
             replica.guard().recordFailure(now());
             end(AttemptOutcome.BROKEN, reason, Optional.empty());
@@ -302,7 +302,7 @@
     }
 
     private void releaseAndEnd(AttemptOutcome outcome, String reason, Optional<BufferedResponse> failure) {
-        replica.connections().giveBack(connection);
+        replica.connections().release(connection);
         end(outcome, reason, failure);
     }
 
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/TargetSelector.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/TargetSelector.java
@@ -51,14 +51,14 @@
     }
 
     boolean hasUntried(ServiceSpec service, Set<String> tried) {
-        return registry.of(service.name()).stream()
+        return registry.acceptingReplicas(service.name()).stream()
                 .anyMatch(r -> !tried.contains(r.entry().run()));
     }
 
     /** Returns the replicas that were not tried yet, without recently failed ones unless no others are left. */
     private List<LiveReplica> usableReplicas(ServiceSpec service, Set<String> tried) {
         long now = clock.monotonicMillis();
-        List<LiveReplica> untried = registry.of(service.name()).stream()
+        List<LiveReplica> untried = registry.acceptingReplicas(service.name()).stream()
                 .filter(r -> !tried.contains(r.entry().run()))
                 .toList();
         List<LiveReplica> healthy =
@@ -71,7 +71,7 @@
         return replicas.stream()
                 .min(Comparator.comparingInt((LiveReplica r) -> r.load().runningRequests(now))
                         .thenComparing(r -> !r.entry().dataCentre().equals(dataCentre))
-                        .thenComparingInt(r -> r.connections().open()))
+                        .thenComparingInt(r -> r.connections().openCount()))
                 .map(r -> new Target(r, Optional.empty(), Optional.empty(), "least load"));
     }
 
@@ -90,13 +90,13 @@
                 .map(r -> new EngineCandidate(
                         r.entry().run(),
                         r.entry().dataCentre(),
-                        r.weights(prompt.model()),
-                        weights.isSettled(prompt.model(), r.weights(prompt.model()), now),
+                        r.weightsVersion(prompt.model()),
+                        weights.isSettled(prompt.model(), r.weightsVersion(prompt.model()), now),
                         r.load(),
                         spec.kvCapacityTokens(),
                         r.entry().slots(),
-                        weights.isPenalized(prompt.model(), r.weights(prompt.model()), now),
-                        weights.usableMillis(prompt.model(), r.weights(prompt.model()), now),
+                        weights.isPenalized(prompt.model(), r.weightsVersion(prompt.model()), now),
+                        weights.usableMillis(prompt.model(), r.weightsVersion(prompt.model()), now),
                         weights.isAvoided(r.entry().run(), now)))
                 .toList();
         String isolatedCustomer =
@@ -163,7 +163,7 @@
         String salt = salt(prompt, isolatedCustomer, version);
         Optional<String> store = links.storeFor(choice.prefixHash()).map(KvTransferLinks.Store::address);
         Optional<String> source =
-                choice.fetchFrom().flatMap(registry::get).map(r -> r.entry().address());
+                choice.fetchFrom().flatMap(registry::byRun).map(r -> r.entry().address());
         return new Target(
                 replica,
                 Optional.of(new ForwardingOptions.EngineOptions(
--- a/gateway/src/main/java/org/hornbeamhead/gateway/quarantine/CrashDetector.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/quarantine/CrashDetector.java
@@ -136,7 +136,7 @@
     }
 
     private void checkProcess(LiveReplica replica, LostRequests lost, Runnable onAlive) {
-        replica.connections().refused().whenResult(refused -> {
+        replica.connections().refusesConnections().whenResult(refused -> {
             if (refused) {
                 lost.silent.forEach(lost.broken::putIfAbsent);
                 reportCrash(replica, lost, "the host refuses connections");
--- a/gateway/src/main/java/org/hornbeamhead/gateway/quarantine/Quarantine.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/quarantine/Quarantine.java
@@ -81,7 +81,7 @@
     /** Starts to follow the removal of replicas and the crash reports of other routers. */
     public void start() {
         history.setListener(this::historyChanged);
-        dependencies.registry().onGone(detector::entryRemoved);
+        dependencies.registry().onRemoved(detector::entryRemoved);
         dependencies.datagrams().addListener((from, bytes) -> gossip.receive(bytes));
         dependencies.metrics().gauge("hornbeam_requests_held_back", history::quarantinedCount);
     }
@@ -105,7 +105,7 @@
 
     private void recordCrash(LostAttempt run, LiveReplica replica) {
         dependencies.metrics().count("hornbeam_requests_at_crash");
-        history.recordCrash(run, replica.hash());
+        history.recordCrash(run, replica.runHash());
         archive.crashRecorded();
     }
 
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/WorkHints.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/WorkHints.java
@@ -93,7 +93,7 @@
     public void recordSent(LiveReplica replica, EngineChoice choice) {
         int readMillis = (int) Math.round(choice.prefillMillis());
         int storeMillis = (int) Math.round(choice.storeMillis());
-        pendingSends.add(new LoadHint.SentRequest(replica.hash(), choice.prefixHash(), readMillis, storeMillis));
+        pendingSends.add(new LoadHint.SentRequest(replica.runHash(), choice.prefixHash(), readMillis, storeMillis));
         if (idleInterval) {
             nextFlush.cancel();
             scheduleFlush(FLUSH_INTERVAL_MILLIS);
@@ -110,7 +110,7 @@
         List<LoadHint.ReplicaLoad> totals = registry.all().stream()
                 .filter(r -> r.load().ownRequests() > 0)
                 .map(r -> new LoadHint.ReplicaLoad(
-                        r.hash(),
+                        r.runHash(),
                         r.load().ownRequests(),
                         r.load().ownLongAnswers(),
                         r.load().ownMemoryTokens()))
@@ -154,9 +154,9 @@
         if (hint.requestsPerSecond() > 0 || !hint.sentRequests().isEmpty()) {
             workingRouters.recordPeer(from, hint.requestsPerSecond(), now);
         }
-        hint.replicaLoads().forEach(t -> registry.byHash(t.replica())
+        hint.replicaLoads().forEach(t -> registry.byRunHash(t.replica())
                 .ifPresent(r -> r.load().recordHint(from, t.running(), t.longAnswers(), t.memoryTokens(), now)));
-        hint.sentRequests().forEach(s -> registry.byHash(s.replica()).ifPresent(r -> {
+        hint.sentRequests().forEach(s -> registry.byRunHash(s.replica()).ifPresent(r -> {
             r.load().recordHint(s.prefillMillis(), now);
             onSend.accept(r, s);
         }));
--- a/gateway/src/test/java/org/hornbeamhead/gateway/quarantine/CrashDetectorTest.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/quarantine/CrashDetectorTest.java
@@ -46,7 +46,7 @@
         server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
         reported = new ArrayList<>();
         detector = new CrashDetector(clock, this::schedule, (run, replica) -> reported.add(run));
-        registry.onGone(detector::entryRemoved);
+        registry.onRemoved(detector::entryRemoved);
         register(false);
     }
 
