--- a/bench/src/main/java/org/hornbeamhead/bench/ClaimBench.java
+++ b/bench/src/main/java/org/hornbeamhead/bench/ClaimBench.java
@@ -10,7 +10,7 @@
 import org.hornbeamhead.core.claim.Claim;
 import org.hornbeamhead.core.claim.ClaimBatcher;
 import org.hornbeamhead.core.claim.ClaimIds;
-import org.hornbeamhead.core.claim.ClaimLimits;
+import org.hornbeamhead.core.claim.ClaimStoreConfig;
 import org.hornbeamhead.core.store.KeyValueStore;
 import org.hornbeamhead.core.store.StoreEntry;
 import org.hornbeamhead.core.store.StoreReply;
@@ -36,7 +36,7 @@
     /** Runs and gives a row of the table. */
     String run(int perSecond) {
         // One batcher stands for all owners: each partition is written by one router in either case.
-        ClaimBatcher owners = new ClaimBatcher(new TimedStore(), clock, timers, ClaimLimits.STANDARD);
+        ClaimBatcher owners = new ClaimBatcher(new TimedStore(), clock, timers, ClaimStoreConfig.STANDARD);
         long start = System.nanoTime();
         int count = (int) (perSecond * RUN_MILLIS / 1000);
         for (int i = 0; i < count; i++) {
--- a/bench/src/main/java/org/hornbeamhead/bench/MemoryBench.java
+++ b/bench/src/main/java/org/hornbeamhead/bench/MemoryBench.java
@@ -28,20 +28,20 @@
         long before = used();
         ManualClock clock = new ManualClock(0);
         ReplicaTable table = new ReplicaTable(clock);
-        table.listed(IntStream.range(0, replicas)
+        table.setEndpoints(IntStream.range(0, replicas)
                 .mapToObj(i -> new Endpoint(EndpointKind.ENGINE, "p", "10.1.2.3:" + i, "", "dc-1", false))
                 .toList());
         table.replicas().forEach(r -> {
-            table.report(r.address(), new LoadReport("incarnation-" + r.address(), "model", "weights", 0, 0, false));
+            table.applyReport(r.address(), new LoadReport("incarnation-" + r.address(), "model", "weights", 0, 0, false));
             for (int i = 0; i < promptsEach; i++) {
                 long key = ReplicaRing.mix(r.address().hashCode(), i);
                 PrefixChain chain = new PrefixChain(List.of(new PrefixLevel(key, 10)));
                 PlacementChoice choice = PrefixPlacement.predict(r, chain, 0, PlacementReason.LEAST_RECOMPUTED);
-                table.dispatched(chain, choice);
+                table.recordDispatch(chain, choice);
             }
         });
         long after = used();
-        int kept = table.replicas().stream().mapToInt(r -> r.cached().size()).sum();
+        int kept = table.replicas().stream().mapToInt(r -> r.cachedPrefixes().size()).sum();
         return String.format("| %d | %d | %d | %.0f |", replicas, promptsEach, kept, (after - before) / KILO);
     }
 
--- a/bench/src/main/java/org/hornbeamhead/bench/PlacementBenchmark.java
+++ b/bench/src/main/java/org/hornbeamhead/bench/PlacementBenchmark.java
@@ -64,11 +64,11 @@
         endpoints = IntStream.range(0, size)
                 .mapToObj(i -> new Endpoint(EndpointKind.ENGINE, "p", "e" + i, "", "dc", false))
                 .toList();
-        table.listed(endpoints);
-        IntStream.range(0, size).forEach(i -> table.report("e" + i, new LoadReport("i" + i, "m", "w", 0, 0, false)));
+        table.setEndpoints(endpoints);
+        IntStream.range(0, size).forEach(i -> table.applyReport("e" + i, new LoadReport("i" + i, "m", "w", 0, 0, false)));
         addresses = endpoints.stream().map(Endpoint::address).toList();
         entries.serving(addresses);
-        placement.routers(1);
+        placement.setRouterCount(1);
         prompt = "word ".repeat(3_600);
     }
 
@@ -116,7 +116,7 @@
      */
     @Benchmark
     public int sameList() {
-        table.listed(endpoints);
+        table.setEndpoints(endpoints);
         return table.ring().size();
     }
 
--- a/bench/src/main/java/org/hornbeamhead/bench/PolicyBench.java
+++ b/bench/src/main/java/org/hornbeamhead/bench/PolicyBench.java
@@ -89,7 +89,7 @@
         List<String> names = new ArrayList<>();
         for (int i = 0; i < scenario.routers(); i++) {
             ReplicaTable table = new ReplicaTable(clock);
-            table.listed(endpoints);
+            table.setEndpoints(endpoints);
             routers.add(new Router(table, kind.policy(random.split()), new AdmissionControl(random.split())));
             names.add("r" + i);
         }
@@ -111,7 +111,7 @@
             boolean gone = lost && address.equals("e0");
             LoadReport report =
                     new LoadReport("i-" + address, "m", "w", engine.waitingTokens(), engine.streams(), gone);
-            routers.forEach(r -> r.table.report(address, report));
+            routers.forEach(r -> r.table.applyReport(address, report));
         });
         timers.schedule(REPORT_EVERY_MILLIS, this::report);
     }
@@ -170,7 +170,7 @@
 
     private void dispatch(Router router, PlannedRequest request, PrefixChain chain, PlacementChoice choice, long from) {
         bound.sent(request, clock.monotonicMillis());
-        router.table.dispatched(chain, choice);
+        router.table.recordDispatch(chain, choice);
         long at = clock.monotonicMillis();
         EngineRequest engineRequest = new EngineRequest(
                 Long.toString(nextId++),
@@ -193,7 +193,7 @@
             @Override
             public void token(int index, String text) {
                 if (index == 0) {
-                    router.table.firstToken(choice, (double) (clock.monotonicMillis() - at));
+                    router.table.recordFirstToken(choice, (double) (clock.monotonicMillis() - at));
                     histogram(request).recordValue(Math.min(HIGHEST_MILLIS, clock.monotonicMillis() - from));
                 }
             }
@@ -201,7 +201,7 @@
             @Override
             public void finished() {
                 done++;
-                router.table.ended(choice, cached);
+                router.table.recordCompletion(choice, cached);
             }
         });
     }
--- a/bench/src/main/java/org/hornbeamhead/bench/PolicyKind.java
+++ b/bench/src/main/java/org/hornbeamhead/bench/PolicyKind.java
@@ -50,7 +50,7 @@
 
     private static PlacementPolicy prefix() {
         PrefixPlacement placement = new PrefixPlacement();
-        placement.routers(ROUTERS);
+        placement.setRouterCount(ROUTERS);
         return placement;
     }
 
@@ -58,7 +58,7 @@
             ReplicaTable table, PrefixChain chain, Function<List<Replica>, Replica> which) {
         long now = table.clock().monotonicMillis();
         List<Replica> live = new ArrayList<>(
-                table.replicas().stream().filter(r -> r.takesWork(now)).toList());
+                table.replicas().stream().filter(r -> r.acceptsWork(now)).toList());
         return live.isEmpty()
                 ? Optional.empty()
                 : Optional.of(PrefixPlacement.predict(which.apply(live), chain, now, PlacementReason.BASELINE));
--- a/controller/src/main/java/org/hornbeamhead/controller/LoadSlots.java
+++ b/controller/src/main/java/org/hornbeamhead/controller/LoadSlots.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.stream.IntStream;
-import org.hornbeamhead.core.lease.LeaseKeeper;
+import org.hornbeamhead.core.lease.LeaseManager;
 import org.hornbeamhead.core.store.KeyValueStore;
 import org.hornbeamhead.core.time.Clock;
 
@@ -18,12 +18,12 @@
 final class LoadSlots {
     private static final int SLOTS = 2;
 
-    private final List<LeaseKeeper> keepers;
+    private final List<LeaseManager> keepers;
     private final Map<String, Integer> wanted = new TreeMap<>();
 
     LoadSlots(KeyValueStore store, Clock clock, String holder, Duration ttl) {
         this.keepers = IntStream.range(0, SLOTS)
-                .mapToObj(i -> new LeaseKeeper(store, clock, "load-slot-" + i, holder, ttl))
+                .mapToObj(i -> new LeaseManager(store, clock, "load-slot-" + i, holder, ttl))
                 .toList();
     }
 
@@ -36,8 +36,8 @@
         int needed = wanted.values().stream().mapToInt(Integer::intValue).sum();
         for (int i = 0; i < SLOTS; i++) {
             if (i < needed) {
-                keepers.get(i).step();
-            } else if (keepers.get(i).held().isPresent()) {
+                keepers.get(i).renewOrAcquire();
+            } else if (keepers.get(i).validLease().isPresent()) {
                 keepers.get(i).release();
             }
         }
@@ -45,7 +45,7 @@
 
     /** Tells how many loads a pool may have running. The pools of one process share by the order of their names. */
     int held(String pool) {
-        int left = (int) keepers.stream().filter(k -> k.held().isPresent()).count();
+        int left = (int) keepers.stream().filter(k -> k.validLease().isPresent()).count();
         for (Map.Entry<String, Integer> entry : wanted.entrySet()) {
             int share = Math.min(left, entry.getValue());
             if (entry.getKey().equals(pool)) {
--- a/controller/src/main/java/org/hornbeamhead/controller/PoolController.java
+++ b/controller/src/main/java/org/hornbeamhead/controller/PoolController.java
@@ -13,7 +13,7 @@
 import org.hornbeamhead.core.drain.DrainOrders;
 import org.hornbeamhead.core.drain.DrainView;
 import org.hornbeamhead.core.endpoint.Endpoint;
-import org.hornbeamhead.core.lease.LeaseKeeper;
+import org.hornbeamhead.core.lease.LeaseManager;
 import org.hornbeamhead.core.lease.LeaseState;
 import org.hornbeamhead.core.pool.PoolPlan;
 import org.hornbeamhead.core.pool.ReplicaObservation;
@@ -31,7 +31,7 @@
     private static final int CONFLICT = 409;
 
     private final String pool;
-    private final LeaseKeeper lease;
+    private final LeaseManager lease;
     private final LoadSlots slots;
     private final EngineControl control;
     private final Clock clock;
@@ -39,7 +39,7 @@
     private final Map<String, Long> loadingSinceMillis = new HashMap<>();
 
     PoolController(
-            String pool, LeaseKeeper lease, LoadSlots slots, EngineControl control, Clock clock, Metrics metrics) {
+            String pool, LeaseManager lease, LoadSlots slots, EngineControl control, Clock clock, Metrics metrics) {
         this.pool = pool;
         this.lease = lease;
         this.slots = slots;
@@ -52,13 +52,13 @@
         return pool;
     }
 
-    LeaseKeeper lease() {
+    LeaseManager lease() {
         return lease;
     }
 
     /** Looks at the replicas and gives the orders that are due. */
     void step(Pool wanted, DrainView drains, List<Endpoint> replicas) {
-        if (lease.held().isEmpty()) {
+        if (lease.validLease().isEmpty()) {
             loadingSinceMillis.clear();
             slots.want(pool, 0);
             return;
@@ -83,7 +83,7 @@
                 .count();
         slots.want(pool, (int) outdated);
         List<String> loading = List.copyOf(loadingSinceMillis.keySet());
-        Optional<DrainOrders> known = lease.held().flatMap(drains::under);
+        Optional<DrainOrders> known = lease.validLease().flatMap(drains::under);
         PoolPlan.decide(wanted, known, seen, slots.held(pool), loading).forEach(this::give);
     }
 
@@ -99,7 +99,7 @@
 
     /** The lease is looked at again right before each order, since any time may have passed since the decision. */
     private void give(ReplicaOrder order) {
-        Optional<LeaseState> held = lease.held();
+        Optional<LeaseState> held = lease.validLease();
         if (held.isEmpty()) {
             return;
         }
--- a/controller/src/main/java/org/hornbeamhead/controller/PoolControllers.java
+++ b/controller/src/main/java/org/hornbeamhead/controller/PoolControllers.java
@@ -18,7 +18,7 @@
 import org.hornbeamhead.core.drain.DrainView;
 import org.hornbeamhead.core.endpoint.Endpoint;
 import org.hornbeamhead.core.endpoint.EndpointKind;
-import org.hornbeamhead.core.lease.LeaseKeeper;
+import org.hornbeamhead.core.lease.LeaseManager;
 import org.hornbeamhead.core.lease.LeaseState;
 import org.hornbeamhead.core.placement.ReplicaRing;
 import org.hornbeamhead.core.store.KeyValueStore;
@@ -71,7 +71,7 @@
     }
 
     long leasesHeld() {
-        return pools.values().stream().filter(p -> p.lease().held().isPresent()).count();
+        return pools.values().stream().filter(p -> p.lease().validLease().isPresent()).count();
     }
 
     /** Looks at the configuration, the hosts and the pools whose lease this process seeks. */
@@ -119,19 +119,19 @@
     }
 
     private PoolController open(String pool) {
-        LeaseKeeper lease = new LeaseKeeper(store, clock, "controller/" + pool, holder, leaseTtl);
+        LeaseManager lease = new LeaseManager(store, clock, "controller/" + pool, holder, leaseTtl);
         return new PoolController(pool, lease, slots, control, clock, metrics);
     }
 
     private Set<String> leaseIds() {
         return pools.values().stream()
-                .flatMap(p -> p.lease().held().stream())
+                .flatMap(p -> p.lease().validLease().stream())
                 .map(LeaseState::lease)
                 .collect(Collectors.toUnmodifiableSet());
     }
 
     private void step(PoolController controller) {
-        controller.lease().step();
+        controller.lease().renewOrAcquire();
         Pool wanted = config.config().pools().get(controller.name());
         if (wanted != null) {
             List<Endpoint> replicas = hosts.stream()
@@ -146,7 +146,7 @@
         released = true;
         CompletableFuture<?>[] givenBack = pools.values().stream()
                 .map(PoolController::lease)
-                .map(LeaseKeeper::release)
+                .map(LeaseManager::release)
                 .map(CompletionStage::toCompletableFuture)
                 .toArray(CompletableFuture<?>[]::new);
         return CompletableFuture.allOf(givenBack);
--- a/core/src/main/java/org/hornbeamhead/core/admission/AdmissionControl.java
+++ b/core/src/main/java/org/hornbeamhead/core/admission/AdmissionControl.java
@@ -51,7 +51,7 @@
         if (wait > limit * PRESSED_SHARE && shares.isOver(customer, nowMillis)) {
             return refuse(Reason.OVER_SHARE, wait);
         }
-        shares.used(customer, choice.missedTokens() + 1.0, nowMillis);
+        shares.used(customer, choice.uncachedTokens() + 1.0, nowMillis);
         return new AdmissionDecision.Admit();
     }
 
--- a/core/src/main/java/org/hornbeamhead/core/claim/ClaimBatcher.java
+++ b/core/src/main/java/org/hornbeamhead/core/claim/ClaimBatcher.java
@@ -15,19 +15,19 @@
 import org.hornbeamhead.core.time.Timers;
 
 /**
- * Records claims in the platform's service, many with one write.
+ * Records claims in the platform's key-value service, batching many claims into one write.
  *
- * <p>Safety rests on the compare-and-swap alone: an id stands in one value, and the value names the one attempt that
- * holds it. Values lie in a ring of slots by the ids' issue time; a slot that has moved on to a later window refuses
- * the older one for good. So a process that was paused for an hour cannot claim what others have since forgotten,
- * whatever its clock says.
+ * <p>Safety depends only on compare-and-swap: each id is stored in one value, which names the single attempt that holds
+ * it. Values are stored in a ring of slots, selected by the issue time of the ids. A slot that has been reused for a
+ * later window rejects claims of earlier windows permanently. A process that was paused for an hour therefore cannot
+ * claim an id whose record has been overwritten in the meantime, whatever its clock says.
  *
  * <p>Owned by one thread.
  */
 public final class ClaimBatcher {
-    private static final long FUTURE_MILLIS = 60_000;
-    private static final int BATCH_LIMIT = 2_000;
-    private static final int GROUPS_KEPT = 256;
+    private static final long MAX_FUTURE_MILLIS = 60_000;
+    private static final int MAX_BATCH_SIZE = 2_000;
+    private static final int GROUP_EVICTION_THRESHOLD = 256;
 
     private record Pending(Claim claim, CompletableFuture<ClaimResult> result) {}
 
@@ -35,8 +35,8 @@
 
     private final class Group {
         private final GroupKey key;
-        private final List<Pending> waiting = new ArrayList<>();
-        private Optional<StoreEntry> known = Optional.empty();
+        private final List<Pending> pending = new ArrayList<>();
+        private Optional<StoreEntry> lastKnownEntry = Optional.empty();
         private boolean busy;
         private long lastCommitMillis = Long.MIN_VALUE / 2;
 
@@ -45,70 +45,70 @@
         }
 
         String storeKey() {
-            return limits.key(key.partition(), key.window());
+            return config.storeKey(key.partition(), key.window());
         }
     }
 
     private final KeyValueStore store;
     private final Clock clock;
     private final Timers timers;
-    private final ClaimLimits limits;
+    private final ClaimStoreConfig config;
     private final Map<GroupKey, Group> groups = new HashMap<>();
     private long writes;
 
     /**
-     * Makes a batcher.
+     * Creates a batcher.
      *
-     * @param store the platform's service
-     * @param clock the clock; its wall time only sorts out ids that are surely too old or not yet issued
-     * @param timers delays writes
-     * @param limits the shape of the store
+     * @param store the platform's key-value service
+     * @param clock the clock; its wall time is used only to reject ids that are too old or issued in the future
+     * @param timers the timers that delay writes
+     * @param config the layout and timing of the claim store
      */
-    public ClaimBatcher(KeyValueStore store, Clock clock, Timers timers, ClaimLimits limits) {
+    public ClaimBatcher(KeyValueStore store, Clock clock, Timers timers, ClaimStoreConfig config) {
         this.store = store;
         this.clock = clock;
         this.timers = timers;
-        this.limits = limits;
+        this.config = config;
     }
 
     /**
      * Claims an id for an attempt.
      *
      * @param claim the claim
-     * @return the result, once the platform's service has recorded it or cannot
+     * @return a stage that completes with the result once the claim is recorded or cannot be recorded
      */
     public CompletionStage<ClaimResult> claim(Claim claim) {
         long age = clock.wallMillis() - claim.issuedMillis();
-        if (age > limits.retentionMillis()) {
+        if (age > config.retentionMillis()) {
             return CompletableFuture.completedFuture(ClaimResult.EXPIRED);
         }
-        if (age < -FUTURE_MILLIS) {
+        if (age < -MAX_FUTURE_MILLIS) {
             return CompletableFuture.completedFuture(ClaimResult.UNAVAILABLE);
         }
         CompletableFuture<ClaimResult> result = new CompletableFuture<>();
-        GroupKey key = new GroupKey(limits.partition(claim), limits.window(claim.issuedMillis()));
+        GroupKey key = new GroupKey(config.partitionOf(claim), config.windowOf(claim.issuedMillis()));
         Group group = groups.computeIfAbsent(key, Group::new);
-        group.waiting.add(new Pending(claim, result));
-        commitSoon(group);
+        group.pending.add(new Pending(claim, result));
+        scheduleCommit(group);
         return result;
     }
 
     /**
-     * Counts the writes tried so far, for metrics.
+     * Returns the number of attempted writes, for metrics.
      *
-     * @return compare-and-swaps sent
+     * @return the number of compare-and-swap operations sent
      */
     public long writes() {
         return writes;
     }
 
-    private void commitSoon(Group group) {
-        if (group.busy || group.waiting.isEmpty()) {
+    private void scheduleCommit(Group group) {
+        if (group.busy || group.pending.isEmpty()) {
             return;
         }
         group.busy = true;
-        long since = clock.monotonicMillis() - group.lastCommitMillis;
-        long delay = Math.max(0, limits.commitEveryMillis() - since);
+        long sinceLastCommit = clock.monotonicMillis() - group.lastCommitMillis;
+        long delay = Math.max(0, config.commitIntervalMillis() - sinceLastCommit);
         if (delay == 0) {
             commit(group);
         } else {
@@ -117,121 +117,122 @@
     }
 
     private void commit(Group group) {
-        int count = Math.min(BATCH_LIMIT, group.waiting.size());
-        List<Pending> batch = new ArrayList<>(group.waiting.subList(0, count));
-        group.waiting.subList(0, count).clear();
+        int count = Math.min(MAX_BATCH_SIZE, group.pending.size());
+        List<Pending> batch = new ArrayList<>(group.pending.subList(0, count));
+        group.pending.subList(0, count).clear();
         group.lastCommitMillis = clock.monotonicMillis();
-        if (group.known.isPresent()) {
-            write(group, batch, limits.tries(), false);
+        if (group.lastKnownEntry.isPresent()) {
+            write(group, batch, config.maxTries(), false);
         } else {
-            read(group, batch, limits.tries(), false);
+            read(group, batch, config.maxTries(), false);
         }
     }
 
-    private void read(Group group, List<Pending> batch, int tries, boolean doubt) {
+    private void read(Group group, List<Pending> batch, int triesLeft, boolean inDoubt) {
         store.read(group.storeKey()).thenAccept(reply -> {
             if (reply instanceof StoreReply.Found found) {
-                group.known = Optional.of(found.entry());
-                write(group, batch, tries, doubt);
+                group.lastKnownEntry = Optional.of(found.entry());
+                write(group, batch, triesLeft, inDoubt);
             } else if (reply instanceof StoreReply.Missing) {
-                group.known = Optional.empty();
-                write(group, batch, tries, doubt);
+                group.lastKnownEntry = Optional.empty();
+                write(group, batch, triesLeft, inDoubt);
             } else {
-                retryOrGiveUp(group, batch, tries, doubt);
+                rereadOrGiveUp(group, batch, triesLeft, inDoubt);
             }
         });
     }
 
-    private void write(Group group, List<Pending> batch, int tries, boolean doubt) {
-        ClaimWindow current = current(group);
+    private void write(Group group, List<Pending> batch, int triesLeft, boolean inDoubt) {
+        ClaimWindow current = currentWindow(group);
         if (current.window() > group.key.window()) {
-            finish(group, batch, ClaimResult.EXPIRED);
+            completeBatch(group, batch, ClaimResult.EXPIRED);
             return;
         }
-        List<Pending> free = settleHeld(batch, current);
-        if (free.isEmpty()) {
-            done(group);
+        List<Pending> unclaimed = completeHeldClaims(batch, current);
+        if (unclaimed.isEmpty()) {
+            releaseGroup(group);
             return;
         }
-        List<Claim> claims = free.stream().map(Pending::claim).toList();
-        long version = group.known.map(StoreEntry::version).orElse(KeyValueStore.ABSENT);
+        List<Claim> claims = unclaimed.stream().map(Pending::claim).toList();
+        long version = group.lastKnownEntry.map(StoreEntry::version).orElse(KeyValueStore.ABSENT);
         writes++;
-        store.compareAndSwap(group.storeKey(), version, current.with(claims).format(), Optional.empty())
-                .thenAccept(reply -> written(group, free, tries, doubt, reply));
+        store.compareAndSwap(
+                        group.storeKey(), version, current.withClaims(claims).format(), Optional.empty())
+                .thenAccept(reply -> handleWriteReply(group, unclaimed, triesLeft, inDoubt, reply));
     }
 
-    private ClaimWindow current(Group group) {
-        ClaimWindow stored = group.known
+    private ClaimWindow currentWindow(Group group) {
+        ClaimWindow stored = group.lastKnownEntry
                 .map(entry -> ClaimWindow.parse(entry.value()))
                 .orElseGet(() -> ClaimWindow.empty(group.key.window()));
         return stored.window() < group.key.window() ? ClaimWindow.empty(group.key.window()) : stored;
     }
 
-    /** Answers the claims whose id is held, by their own attempt or by another, and returns the rest. */
-    private static List<Pending> settleHeld(List<Pending> batch, ClaimWindow current) {
-        List<Pending> free = new ArrayList<>();
+    /** Completes the claims whose id is already held, by the same attempt or another one, and returns the others. */
+    private static List<Pending> completeHeldClaims(List<Pending> batch, ClaimWindow current) {
+        List<Pending> unclaimed = new ArrayList<>();
         Map<UUID, Long> inBatch = new HashMap<>();
         for (Pending p : batch) {
-            Optional<Long> holder = current.attempt(p.claim().id())
+            Optional<Long> holder = current.attemptHolding(p.claim().id())
                     .or(() -> Optional.ofNullable(
                             inBatch.putIfAbsent(p.claim().id(), p.claim().attempt())));
             if (holder.isEmpty()) {
-                free.add(p);
+                unclaimed.add(p);
             } else {
                 boolean own = holder.get() == p.claim().attempt();
                 p.result().complete(own ? ClaimResult.GRANTED : ClaimResult.TAKEN);
             }
         }
-        return free;
+        return unclaimed;
     }
 
-    private void written(Group group, List<Pending> batch, int tries, boolean doubt, StoreReply reply) {
+    private void handleWriteReply(Group group, List<Pending> batch, int triesLeft, boolean inDoubt, StoreReply reply) {
         if (reply instanceof StoreReply.Found found) {
-            group.known = Optional.of(found.entry());
-            finish(group, batch, ClaimResult.GRANTED);
+            group.lastKnownEntry = Optional.of(found.entry());
+            completeBatch(group, batch, ClaimResult.GRANTED);
         } else if (reply instanceof StoreReply.Conflict conflict) {
-            group.known = conflict.current();
-            writeAgain(group, batch, tries, doubt);
+            group.lastKnownEntry = conflict.current();
+            rewriteOrGiveUp(group, batch, triesLeft, inDoubt);
         } else {
-            // Failure: the write took effect and its answer was lost. Symptom: the same id would be refused although
-            // nobody runs it. The same write is tried again: the store then shows either this attempt's number or a
-            // version that the lost write can no longer match.
-            group.known = Optional.empty();
-            retryOrGiveUp(group, batch, tries, doubt || reply instanceof StoreReply.InDoubt);
+            // The write may have taken effect although its reply was lost. If its ids were refused then, nobody would
+            // run the requests. The write is therefore tried again: the store then has either this attempt's number or
+            // a version that the lost write can no longer match.
+            group.lastKnownEntry = Optional.empty();
+            rereadOrGiveUp(group, batch, triesLeft, inDoubt || reply instanceof StoreReply.InDoubt);
         }
     }
 
-    private void writeAgain(Group group, List<Pending> batch, int tries, boolean doubt) {
-        if (tries <= 1) {
-            finish(group, batch, doubt ? ClaimResult.IN_DOUBT : ClaimResult.UNAVAILABLE);
+    private void rewriteOrGiveUp(Group group, List<Pending> batch, int triesLeft, boolean inDoubt) {
+        if (triesLeft <= 1) {
+            completeBatch(group, batch, inDoubt ? ClaimResult.IN_DOUBT : ClaimResult.UNAVAILABLE);
         } else {
-            write(group, batch, tries - 1, doubt);
+            write(group, batch, triesLeft - 1, inDoubt);
         }
     }
 
-    private void retryOrGiveUp(Group group, List<Pending> batch, int tries, boolean doubt) {
-        if (tries <= 1) {
-            finish(group, batch, doubt ? ClaimResult.IN_DOUBT : ClaimResult.UNAVAILABLE);
+    private void rereadOrGiveUp(Group group, List<Pending> batch, int triesLeft, boolean inDoubt) {
+        if (triesLeft <= 1) {
+            completeBatch(group, batch, inDoubt ? ClaimResult.IN_DOUBT : ClaimResult.UNAVAILABLE);
         } else {
-            timers.schedule(limits.commitEveryMillis(), () -> read(group, batch, tries - 1, doubt));
+            timers.schedule(config.commitIntervalMillis(), () -> read(group, batch, triesLeft - 1, inDoubt));
         }
     }
 
-    private void finish(Group group, List<Pending> batch, ClaimResult result) {
+    private void completeBatch(Group group, List<Pending> batch, ClaimResult result) {
         batch.forEach(p -> p.result().complete(result));
-        done(group);
+        releaseGroup(group);
     }
 
-    private void done(Group group) {
+    private void releaseGroup(Group group) {
         group.busy = false;
-        forgetOldGroups();
-        commitSoon(group);
+        evictOldGroups();
+        scheduleCommit(group);
     }
 
-    private void forgetOldGroups() {
-        if (groups.size() > GROUPS_KEPT) {
-            long oldest = limits.window(clock.wallMillis()) - 2;
-            groups.values().removeIf(g -> !g.busy && g.waiting.isEmpty() && g.key.window() < oldest);
+    private void evictOldGroups() {
+        if (groups.size() > GROUP_EVICTION_THRESHOLD) {
+            long oldest = config.windowOf(clock.wallMillis()) - 2;
+            groups.values().removeIf(g -> !g.busy && g.pending.isEmpty() && g.key.window() < oldest);
         }
     }
 }
--- a/core/src/main/java/org/hornbeamhead/core/claim/ClaimIds.java
+++ b/core/src/main/java/org/hornbeamhead/core/claim/ClaimIds.java
@@ -3,7 +3,7 @@
 import java.util.UUID;
 import java.util.random.RandomGenerator;
 
-/** Draws ids that carry their issue time: UUIDs of version 7 (RFC 9562). */
+/** Generates ids that contain their issue time: UUIDs of version 7 (RFC 9562). */
 public final class ClaimIds {
     private static final int TIME_SHIFT = 16;
     private static final long VERSION_7 = 0x7000L;
@@ -14,7 +14,7 @@
     private ClaimIds() {}
 
     /**
-     * Draws an id.
+     * Generates an id.
      *
      * @param wallMillis the issue time, in milliseconds since the Unix epoch
      * @param random the source of randomness
--- a/core/src/main/java/org/hornbeamhead/core/claim/ClaimResult.java
+++ b/core/src/main/java/org/hornbeamhead/core/claim/ClaimResult.java
@@ -1,15 +1,15 @@
 package org.hornbeamhead.core.claim;
 
-/** What came of the wish to run a request that is not repeatable. */
+/** The result of a claim to run a request that is not repeatable. */
 public enum ClaimResult {
-    /** The asker alone may run it, once. */
+    /** Only the claiming attempt may run the request, once. */
     GRANTED,
-    /** Another attempt may run it or has run it. */
+    /** Another attempt may run the request or has run it. */
     TAKEN,
-    /** The id is older than the retention. Whether it ran is no longer known; it will not run from now on. */
+    /** The id is older than the retention. Whether the request ran is no longer known; it will not run from now on. */
     EXPIRED,
-    /** The claim was surely not recorded. */
+    /** The claim was certainly not recorded. */
     UNAVAILABLE,
-    /** The claim may have been recorded; the asker must not run the request. */
+    /** The claim may have been recorded; the claiming attempt must not run the request. */
     IN_DOUBT
 }
--- a/core/src/main/java/org/hornbeamhead/core/claim/ClaimWindow.java
+++ b/core/src/main/java/org/hornbeamhead/core/claim/ClaimWindow.java
@@ -8,11 +8,11 @@
 import java.util.stream.Collectors;
 
 /**
- * The claims of one partition and one window, as they stand in the platform's service: a line with the window's number,
- * then a line a claim. Immutable.
+ * The claims of one partition and one window, as stored in the platform's key-value service: a line with the window's
+ * number, followed by one line per claim. Immutable.
  */
 public final class ClaimWindow {
-    private static final int HEX = 16;
+    private static final int HEX_RADIX = 16;
 
     private final long window;
     private final Map<UUID, Long> attempts;
@@ -23,9 +23,9 @@
     }
 
     /**
-     * Makes an empty window.
+     * Creates an empty window.
      *
-     * @param window its number
+     * @param window the window's number
      * @return the window
      */
     public static ClaimWindow empty(long window) {
@@ -33,32 +33,33 @@
     }
 
     /**
-     * Reads a value.
+     * Parses a stored value.
      *
      * @param text the value
      * @return the window
-     * @throws IllegalArgumentException when the value was not written by this class
+     * @throws IllegalArgumentException if the value was not written by this class
      */
     public static ClaimWindow parse(String text) {
         List<String> lines = text.lines().toList();
         if (lines.isEmpty()) {
-            throw new IllegalArgumentException("a claims value is empty");
+            throw new IllegalArgumentException(
+                    "claim window value is empty; expected a window number on the first line");
         }
         Map<UUID, Long> attempts = lines.stream()
                 .skip(1)
                 .map(line -> line.split(" ", 2))
                 .collect(Collectors.toMap(
                         part -> UUID.fromString(part[0]),
-                        part -> Long.parseUnsignedLong(part[1], HEX),
+                        part -> Long.parseUnsignedLong(part[1], HEX_RADIX),
                         (a, b) -> a,
                         LinkedHashMap::new));
         return new ClaimWindow(Long.parseLong(lines.get(0)), attempts);
     }
 
     /**
-     * Writes the value.
+     * Formats the value to store.
      *
-     * @return the text that {@link #parse} reads
+     * @return the value, in the form read by {@link #parse}
      */
     public String format() {
         return attempts.entrySet().stream()
@@ -67,24 +68,24 @@
     }
 
     /**
-     * Adds claims.
+     * Returns a copy of this window with added claims.
      *
-     * @param claims claims of this window, none of which is in it
+     * @param claims the claims to add, whose ids are in this window's range and not held yet
      * @return the new window
      */
-    public ClaimWindow with(List<Claim> claims) {
-        Map<UUID, Long> more = new LinkedHashMap<>(attempts);
-        claims.forEach(c -> more.putIfAbsent(c.id(), c.attempt()));
-        return new ClaimWindow(window, more);
+    public ClaimWindow withClaims(List<Claim> claims) {
+        Map<UUID, Long> extended = new LinkedHashMap<>(attempts);
+        claims.forEach(c -> extended.putIfAbsent(c.id(), c.attempt()));
+        return new ClaimWindow(window, extended);
     }
 
     /**
-     * Finds who holds an id.
+     * Returns the attempt that holds an id.
      *
      * @param id the id
-     * @return the attempt, empty when the id is free
+     * @return the attempt; empty if the id is not claimed
      */
-    public Optional<Long> attempt(UUID id) {
+    public Optional<Long> attemptHolding(UUID id) {
         return Optional.ofNullable(attempts.get(id));
     }
 
--- a/core/src/main/java/org/hornbeamhead/core/entry/EntryDirectory.java
+++ b/core/src/main/java/org/hornbeamhead/core/entry/EntryDirectory.java
@@ -32,7 +32,7 @@
      * @param addresses their addresses for callers
      */
     public void serving(Collection<String> addresses) {
-        ring = ring.with(addresses);
+        ring = ring.withReplicas(addresses);
     }
 
     /**
--- a/core/src/main/java/org/hornbeamhead/core/lease/LeaseState.java
+++ b/core/src/main/java/org/hornbeamhead/core/lease/LeaseState.java
@@ -1,11 +1,11 @@
 package org.hornbeamhead.core.lease;
 
 /**
- * A lease as its holder sees it.
+ * The state of a lease, as known to its holder.
  *
- * @param name what the lease is on
- * @param lease the platform's id of it
- * @param fence the fencing number, higher with each holder
- * @param validUntilMillis the monotonic time after which the holder must not act
+ * @param name the name of the leased resource
+ * @param lease the platform's id of the lease
+ * @param fence the fencing number, which increases with each holder
+ * @param validUntilMillis the monotonic time from which the holder must not act, in milliseconds
  */
 public record LeaseState(String name, String lease, long fence, long validUntilMillis) {}
--- a/core/src/main/java/org/hornbeamhead/core/placement/PlacementPolicy.java
+++ b/core/src/main/java/org/hornbeamhead/core/placement/PlacementPolicy.java
@@ -8,13 +8,13 @@
 @FunctionalInterface
 public interface PlacementPolicy {
     /**
-     * Chooses.
+     * Chooses a replica.
      *
      * @param table the pool's replicas
-     * @param chain the prompt's levels
-     * @param target the class's target
-     * @param excluded addresses that were tried already
-     * @return the choice; empty when no replica takes work
+     * @param chain the prompt's prefix levels
+     * @param target the target of the request's class of work
+     * @param excluded the addresses of replicas that were already tried
+     * @return the choice; empty if no replica accepts work
      */
     Optional<PlacementChoice> choose(
             ReplicaTable table, PrefixChain chain, PlacementTarget target, Set<String> excluded);
--- a/core/src/main/java/org/hornbeamhead/core/placement/PlacementReason.java
+++ b/core/src/main/java/org/hornbeamhead/core/placement/PlacementReason.java
@@ -1,10 +1,10 @@
 package org.hornbeamhead.core.placement;
 
-/** Why a replica was chosen. */
+/** The reason for which a replica was chosen. */
 public enum PlacementReason {
-    /** It meets the target and recomputes least. */
+    /** The replica has the lowest cost among the preferred replicas of the prefix. */
     LEAST_RECOMPUTED,
-    /** None of the prefix's own replicas meets the target; this one is the fastest of a wider set. */
+    /** The preferred replicas of the prefix are busy; this one has the lowest cost among all replicas of the prefix. */
     SPILLED,
     /** The request was placed by a baseline policy. */
     BASELINE
--- a/core/src/main/java/org/hornbeamhead/core/placement/PrefixPlacement.java
+++ b/core/src/main/java/org/hornbeamhead/core/placement/PrefixPlacement.java
@@ -7,34 +7,37 @@
 import org.hornbeamhead.core.prefix.PrefixChain;
 
 /**
- * The placement of this system. The shared beginning picks replicas off the ring, as many as its rate keeps warm; the
- * dossier orders them, always the same way. The request goes to the first or second in that order, whichever costs
- * less: waiting, and computing what is missed. When both would use up too much of the target, all of the beginning's
- * replicas are looked at, and a hot dossier comes to stand on more of them.
+ * The default placement policy, which balances prefix cache hits against queueing. The shared prefix (the house part)
+ * selects replicas from the hash ring, as many as its request rate can keep cached; the dossier ranks them in an order
+ * that is always the same. The request goes to the first or second replica of that order, whichever has the lower cost
+ * of waiting and of computing uncached tokens. If waiting at both would use up too much of the target, all replicas of
+ * the shared prefix are considered, so that a frequently used dossier becomes cached on more of them.
  */
 public final class PrefixPlacement implements PlacementPolicy {
-    /** The share of the target that waiting may fill before more replicas are looked at. */
-    private static final double SPILL_SHARE = 0.5;
+    /** The share of the first-token target that waiting may take before more replicas are considered. */
+    private static final double SPILL_WAIT_SHARE = 0.5;
 
-    /** How much dearer a millisecond of computing is than one of waiting, since it takes capacity from all. */
-    private static final double INTERACTIVE_DEARNESS = 8;
+    /**
+     * The cost of a millisecond of computing relative to one of waiting: computing takes capacity from all requests.
+     */
+    private static final double INTERACTIVE_COMPUTE_WEIGHT = 8;
 
-    private static final double BATCH_DEARNESS = 16;
-    private static final int CHOICES = 2;
-    private static final int PASSED_OVER = 8;
-    private static final int MOST_ORDERED = 64;
-    private static final int MOST_SPILLED = 8;
+    private static final double BATCH_COMPUTE_WEIGHT = 16;
+    private static final int PREFERRED_REPLICAS = 2;
+    private static final int SPARE_CANDIDATES = 8;
+    private static final int MAX_SORTED_REPLICAS = 64;
+    private static final int MAX_SPILL_REPLICAS = 8;
 
-    private final PrefixWidths widths = new PrefixWidths();
-    private int routers = 1;
+    private final PrefixReplicaCounts replicaCounts = new PrefixReplicaCounts();
+    private int routerCount = 1;
 
     /**
-     * Tells how many routers serve, which each see about the same share of a beginning's uses.
+     * Sets the number of serving routers. Each is assumed to receive about the same share of the requests for a prefix.
      *
-     * @param serving the number of routers, this one included
+     * @param count the number of routers, including this one
      */
-    public void routers(int serving) {
-        routers = Math.max(1, serving);
+    public void setRouterCount(int count) {
+        routerCount = Math.max(1, count);
     }
 
     @Override
@@ -42,63 +45,71 @@
             ReplicaTable table, PrefixChain chain, PlacementTarget target, Set<String> excluded) {
         long now = table.clock().monotonicMillis();
         long house = chain.house().key();
-        widths.used(house, now);
-        int width = widths.width(house, routers, table.ring().size(), now);
-        List<Replica> ordered = ordered(table, chain, excluded, width, now);
-        List<PlacementChoice> first = ordered.stream()
-                .limit(CHOICES)
+        replicaCounts.recordUse(house, now);
+        int replicaCount =
+                replicaCounts.replicaCount(house, routerCount, table.ring().size(), now);
+        List<Replica> ranked = rankedReplicas(table, chain, excluded, replicaCount, now);
+        List<PlacementChoice> preferred = ranked.stream()
+                .limit(PREFERRED_REPLICAS)
                 .map(r -> predict(r, chain, now, PlacementReason.LEAST_RECOMPUTED))
                 .toList();
         Comparator<PlacementChoice> byCost = Comparator.comparingDouble(c -> cost(c, target, now));
-        boolean busy = first.stream().allMatch(c -> waitMillis(c, now) > target.firstTokenMillis() * SPILL_SHARE);
+        boolean busy =
+                preferred.stream().allMatch(c -> waitMillis(c, now) > target.firstTokenMillis() * SPILL_WAIT_SHARE);
         if (!busy || target.batch()) {
-            return first.stream().min(byCost);
+            return preferred.stream().min(byCost);
         }
-        return ordered.stream()
+        return ranked.stream()
                 .map(r -> predict(r, chain, now, PlacementReason.SPILLED))
                 .min(byCost);
     }
 
-    private static List<Replica> ordered(
-            ReplicaTable table, PrefixChain chain, Set<String> excluded, int width, long now) {
+    private static List<Replica> rankedReplicas(
+            ReplicaTable table, PrefixChain chain, Set<String> excluded, int replicaCount, long now) {
         long dossier = chain.dossier().key();
-        if (width > MOST_ORDERED) {
-            // So hot a beginning stands everywhere: the dossier's own place on the ring gives the order, at a cost that
-            // does not grow with the width.
-            return taking(table, dossier, dossier, MOST_SPILLED, excluded, now);
+        if (replicaCount > MAX_SORTED_REPLICAS) {
+            // A prefix of such a high rate is cached on nearly all replicas. The dossier's own position on the ring
+            // gives the order, at a cost that does not grow with the number of replicas.
+            return availableReplicas(table, dossier, dossier, MAX_SPILL_REPLICAS, excluded, now);
         }
-        return taking(table, chain.house().key(), dossier, width, excluded, now).stream()
+        return availableReplicas(table, chain.house().key(), dossier, replicaCount, excluded, now).stream()
                 .sorted(Comparator.comparingLong(r -> ReplicaRing.mix(dossier, r.ringKey())))
                 .toList();
     }
 
-    /** Walks the ring from a key to the replicas that take work; cold ones are left out while there are warm ones. */
-    private static List<Replica> taking(
+    /** Returns the next replicas on the ring that accept work. Cold ones are omitted if there are warm ones. */
+    private static List<Replica> availableReplicas(
             ReplicaTable table, long key, long dossier, int count, Set<String> excluded, long now) {
-        List<Replica> near = table.ring().walk(key, count + PASSED_OVER + excluded.size()).stream()
+        List<Replica> available = table.ring().walk(key, count + SPARE_CANDIDATES + excluded.size()).stream()
                 .filter(address -> !excluded.contains(address))
                 .flatMap(address -> table.find(address).stream())
-                .filter(replica -> replica.takesWork(now))
+                .filter(replica -> replica.acceptsWork(now))
+                .toList();
+        List<Replica> warm = available.stream()
+                .filter(replica -> replica.isWarmFor(now, dossier))
                 .toList();
-        List<Replica> warm =
-                near.stream().filter(replica -> replica.isWarmFor(now, dossier)).toList();
-        return (warm.isEmpty() ? near : warm).stream().limit(count).toList();
+        return (warm.isEmpty() ? available : warm).stream().limit(count).toList();
     }
 
     /**
-     * Predicts what a replica would do with a prompt.
+     * Predicts the cost of running a prompt on a replica.
      *
      * @param replica the replica
-     * @param chain the prompt's levels
+     * @param chain the prompt's prefix levels
      * @param now the monotonic time, in milliseconds
-     * @param reason why the replica is looked at
+     * @param reason why the replica is considered
      * @return the prediction
      */
     public static PlacementChoice predict(Replica replica, PrefixChain chain, long now, PlacementReason reason) {
-        CacheBelief belief = replica.cached().belief(chain, now);
-        int missed = chain.tokens() - belief.expectedTokens();
+        CacheEstimate cacheEstimate = replica.cachedPrefixes().estimate(chain, now);
+        int uncached = chain.tokens() - cacheEstimate.expectedTokens();
         return new PlacementChoice(
-                replica, missed, belief, replica.waitingTokens(now), replica.firstTokenMillis(missed, now), reason);
+                replica,
+                uncached,
+                cacheEstimate,
+                replica.waitingTokens(now),
+                replica.firstTokenMillis(uncached, now),
+                reason);
     }
 
     private static double waitMillis(PlacementChoice choice, long now) {
@@ -106,7 +117,7 @@
     }
 
     private static double cost(PlacementChoice choice, PlacementTarget target, long now) {
-        double compute = choice.replica().computeMillis(choice.missedTokens());
-        return waitMillis(choice, now) + compute * (target.batch() ? BATCH_DEARNESS : INTERACTIVE_DEARNESS);
+        double compute = choice.replica().computeMillis(choice.uncachedTokens());
+        return waitMillis(choice, now) + compute * (target.batch() ? BATCH_COMPUTE_WEIGHT : INTERACTIVE_COMPUTE_WEIGHT);
     }
 }
--- a/core/src/main/java/org/hornbeamhead/core/placement/Replica.java
+++ b/core/src/main/java/org/hornbeamhead/core/placement/Replica.java
@@ -9,18 +9,18 @@
 /**
  * One router's view of one replica. Owned by the router's thread.
  *
- * <p>The load is split in two: the router's own outstanding work, which it knows exactly, and the others', taken from
- * the last report. Were the whole report taken as it is, all routers would run to the replica that reported least a
- * moment ago, and the next report would show it as the busiest.
+ * <p>The load consists of two parts: the router's own outstanding work, which it knows exactly, and that of other
+ * routers, derived from the last report. If the reported load were used alone, all routers would choose the replica
+ * with the lowest load in the last reports and make it the busiest by the next one.
  */
 public final class Replica {
-    private static final double FIRST_MILLIS_PER_TOKEN = 0.05;
+    private static final double INITIAL_MILLIS_PER_TOKEN = 0.05;
     private static final double MIN_MILLIS_PER_TOKEN = 0.0005;
-    private static final double SMOOTHING = 0.1;
-    private static final double ENOUGH_TO_TELL_SPEED = 1_000;
+    private static final double MIN_SMOOTHING_FACTOR = 0.1;
+    private static final double MIN_TOKENS_FOR_SPEED_SAMPLE = 1_000;
     private static final long WARM_UP_MILLIS = 10_000;
     private static final long FULL_SHARE = 1_000;
-    private static final long FIRST_SHARE = 200;
+    private static final long INITIAL_SHARE = 200;
 
     private final long ringKey;
     private Endpoint endpoint;
@@ -29,23 +29,23 @@
     private String weights = "";
     private boolean reported;
     private boolean draining;
-    private CachedPrefixes cached = new CachedPrefixes();
+    private CachedPrefixes cachedPrefixes = new CachedPrefixes();
     private long warmSinceMillis;
     private long ownTokens;
     private int ownStreams;
-    private double othersTokens;
-    private int othersStreams;
+    private double otherRoutersTokens;
+    private int otherRoutersStreams;
     private double busyUntilMillis;
-    private int samples;
-    private double millisPerToken = FIRST_MILLIS_PER_TOKEN;
-    private double fixedMillis;
+    private int speedSamples;
+    private double millisPerToken = INITIAL_MILLIS_PER_TOKEN;
+    private double fixedLatencyMillis;
     private final OutlierGuard outlier;
 
     /**
-     * Makes the view of a replica not yet heard of.
+     * Creates the view of a replica from which no report has been received.
      *
-     * @param endpoint its line in the host list
-     * @param outlier decides when it is left out for failing
+     * @param endpoint the replica's entry in the host list
+     * @param outlier ejects the replica while it keeps failing
      */
     Replica(Endpoint endpoint, OutlierGuard outlier) {
         this.endpoint = endpoint;
@@ -54,31 +54,32 @@
     }
 
     /**
-     * Takes in a load report.
+     * Applies a load report.
      *
-     * <p>Failure: an engine crashes and comes back at the same address with an empty cache; the router goes on sending
-     * there for a cache that is gone. Symptom: cached-token counts of 0 where hits were expected. A changed incarnation
-     * drops the whole belief at once, so that no old entry is ever relied upon.
+     * <p>An engine that crashes and restarts at the same address has an empty cache, and reports cached-token counts of
+     * 0 where hits were expected. All cache estimates are therefore dropped when the incarnation or the version of the
+     * weights changes, so that the router does not send prompts there for the sake of lost entries.
      *
      * @param report the report
-     * @param nowMillis the monotonic time
+     * @param nowMillis the monotonic time, in milliseconds
      */
-    void report(LoadReport report, long nowMillis) {
+    void applyReport(LoadReport report, long nowMillis) {
         boolean changed =
                 !report.incarnation().equals(incarnation) || !report.weights().equals(weights);
         if (changed) {
-            // The first engine a router meets may be warm for others; only a known one that changed is cold.
+            // An engine that is new to this router may be warm from other routers' requests; only a known engine whose
+            // incarnation or weights changed is cold.
             warmSinceMillis = reported ? nowMillis : nowMillis - WARM_UP_MILLIS;
-            cached = new CachedPrefixes();
+            cachedPrefixes = new CachedPrefixes();
             incarnation = report.incarnation();
             weights = report.weights();
         }
         reported = true;
         model = report.model();
         draining = report.draining();
-        othersTokens = Math.max(0, report.waitingTokens() - ownTokens);
-        busyUntilMillis = nowMillis + (ownTokens + othersTokens) * millisPerToken;
-        othersStreams = Math.max(0, report.running() - ownStreams);
+        otherRoutersTokens = Math.max(0, report.waitingTokens() - ownTokens);
+        busyUntilMillis = nowMillis + (ownTokens + otherRoutersTokens) * millisPerToken;
+        otherRoutersStreams = Math.max(0, report.running() - ownStreams);
     }
 
     void endpoint(Endpoint changed) {
@@ -88,118 +89,119 @@
     /**
      * Predicts the time to the first token.
      *
-     * @param missedTokens prompt tokens to be computed
-     * @param nowMillis the monotonic time
-     * @return milliseconds
+     * @param uncachedTokens the number of prompt tokens to be computed
+     * @param nowMillis the monotonic time, in milliseconds
+     * @return the time, in milliseconds
      */
-    public double firstTokenMillis(int missedTokens, long nowMillis) {
-        return fixedMillis + waitMillis(nowMillis) + computeMillis(missedTokens);
+    public double firstTokenMillis(int uncachedTokens, long nowMillis) {
+        return fixedLatencyMillis + waitMillis(nowMillis) + computeMillis(uncachedTokens);
     }
 
     /**
-     * Predicts how long a new request waits for the prompts ahead of it. Between two reports the backlog drains with
-     * time and grows with this router's own dispatches.
+     * Predicts how long a new request waits for the prompts queued ahead of it. Between two reports the predicted queue
+     * shrinks with time and grows with this router's own dispatches.
      *
-     * @param nowMillis the monotonic time
-     * @return milliseconds
+     * @param nowMillis the monotonic time, in milliseconds
+     * @return the time, in milliseconds
      */
     public double waitMillis(long nowMillis) {
         return Math.max(0, busyUntilMillis - nowMillis);
     }
 
     /**
-     * Predicts how long prompt tokens take to compute.
+     * Predicts the time that computing prompt tokens takes.
      *
-     * @param missedTokens how many
-     * @return milliseconds
+     * @param uncachedTokens the number of tokens
+     * @return the time, in milliseconds
      */
-    public double computeMillis(int missedTokens) {
-        return missedTokens * millisPerToken;
+    public double computeMillis(int uncachedTokens) {
+        return uncachedTokens * millisPerToken;
     }
 
     /**
-     * Estimates the prompt tokens ahead of a new request.
+     * Estimates the number of prompt tokens queued ahead of a new request.
      *
-     * @param nowMillis the monotonic time
-     * @return tokens
+     * @param nowMillis the monotonic time, in milliseconds
+     * @return the number of tokens
      */
     public double waitingTokens(long nowMillis) {
         return waitMillis(nowMillis) / millisPerToken;
     }
 
     /**
-     * Counts prompt tokens of a request that were predicted to be missing in the cache.
+     * Estimates the number of prompt tokens of a request that are not cached.
      *
-     * @param chain the prompt's levels
-     * @param nowMillis the monotonic time
-     * @return tokens to compute
+     * @param chain the prompt's prefix levels
+     * @param nowMillis the monotonic time, in milliseconds
+     * @return the number of tokens to compute
      */
-    public int missedTokens(PrefixChain chain, long nowMillis) {
-        return chain.tokens() - cached.belief(chain, nowMillis).expectedTokens();
+    public int uncachedTokens(PrefixChain chain, long nowMillis) {
+        return chain.tokens() - cachedPrefixes.estimate(chain, nowMillis).expectedTokens();
     }
 
     /**
-     * Tells whether new work may go here at all.
+     * Returns whether new work may be sent to the replica.
      *
-     * @param nowMillis the monotonic time
-     * @return false while it leaves, drains, or is ejected
+     * @param nowMillis the monotonic time, in milliseconds
+     * @return false while the replica is leaving, draining or ejected
      */
-    public boolean takesWork(long nowMillis) {
+    public boolean acceptsWork(long nowMillis) {
         return !endpoint.leaving() && !draining && !outlier.ejected(nowMillis);
     }
 
     /**
-     * Tells whether a prompt belongs to the share that a replica takes while it warms up, which grows from a fifth to
-     * all. A preference only: where no warm replica takes work, a cold one serves any prompt.
+     * Returns whether a prompt belongs to the share that the replica accepts while it warms up, which grows from a
+     * fifth to all. This is a preference only: if no warm replica accepts work, a cold one serves any prompt.
      *
-     * @param nowMillis the monotonic time
+     * @param nowMillis the monotonic time, in milliseconds
      * @param key the prompt's key
-     * @return true when it does; always true for a warm replica
+     * @return true if it does; always true for a warm replica
      */
     public boolean isWarmFor(long nowMillis, long key) {
-        long sinceMillis = nowMillis - Math.max(warmSinceMillis, outlier.returnedAtMillis());
-        if (sinceMillis >= WARM_UP_MILLIS) {
+        long warmingMillis = nowMillis - Math.max(warmSinceMillis, outlier.returnedAtMillis());
+        if (warmingMillis >= WARM_UP_MILLIS) {
             return true;
         }
-        long share = FIRST_SHARE + (FULL_SHARE - FIRST_SHARE) * Math.max(0, sinceMillis) / WARM_UP_MILLIS;
+        long share = INITIAL_SHARE + (FULL_SHARE - INITIAL_SHARE) * Math.max(0, warmingMillis) / WARM_UP_MILLIS;
         return Math.floorMod(key, FULL_SHARE) < share;
     }
 
-    void dispatched(PrefixChain chain, int missed, long nowMillis) {
-        ownTokens += missed;
+    void recordDispatch(PrefixChain chain, int uncached, long nowMillis) {
+        ownTokens += uncached;
         ownStreams++;
-        busyUntilMillis = Math.max((double) nowMillis, busyUntilMillis) + missed * millisPerToken;
-        cached.sent(chain, nowMillis);
+        busyUntilMillis = Math.max((double) nowMillis, busyUntilMillis) + uncached * millisPerToken;
+        cachedPrefixes.recordDispatch(chain, nowMillis);
     }
 
-    void firstToken(PlacementChoice choice, double elapsedMillis, long nowMillis) {
-        ownTokens = Math.max(0, ownTokens - choice.missedTokens());
-        if (ownTokens == 0 && othersTokens == 0) {
+    void recordFirstToken(PlacementChoice choice, double elapsedMillis, long nowMillis) {
+        ownTokens = Math.max(0, ownTokens - choice.uncachedTokens());
+        if (ownTokens == 0 && otherRoutersTokens == 0) {
             busyUntilMillis = (double) nowMillis;
         }
-        double tokens = choice.waitingTokens() + choice.missedTokens();
-        if (tokens > ENOUGH_TO_TELL_SPEED) {
-            samples++;
-            double smoothing = Math.max(SMOOTHING, 1.0 / samples);
-            double measured = Math.max(0, elapsedMillis - fixedMillis) / tokens;
-            millisPerToken = Math.max(MIN_MILLIS_PER_TOKEN, millisPerToken + smoothing * (measured - millisPerToken));
+        double tokens = choice.waitingTokens() + choice.uncachedTokens();
+        if (tokens > MIN_TOKENS_FOR_SPEED_SAMPLE) {
+            speedSamples++;
+            double smoothing = Math.max(MIN_SMOOTHING_FACTOR, 1.0 / speedSamples);
+            double sampleMillisPerToken = Math.max(0, elapsedMillis - fixedLatencyMillis) / tokens;
+            millisPerToken = Math.max(
+                    MIN_MILLIS_PER_TOKEN, millisPerToken + smoothing * (sampleMillisPerToken - millisPerToken));
         } else {
-            double plausible = Math.min(elapsedMillis, choice.firstTokenMillis() * 2 + 1);
-            fixedMillis += SMOOTHING * (plausible - fixedMillis);
+            double boundedMillis = Math.min(elapsedMillis, choice.firstTokenMillis() * 2 + 1);
+            fixedLatencyMillis += MIN_SMOOTHING_FACTOR * (boundedMillis - fixedLatencyMillis);
         }
     }
 
-    void ended() {
+    void recordCompletion() {
         ownStreams = Math.max(0, ownStreams - 1);
     }
 
-    void abandoned(int missed) {
-        ownTokens = Math.max(0, ownTokens - missed);
-        ended();
+    void recordAbandoned(int uncached) {
+        ownTokens = Math.max(0, ownTokens - uncached);
+        recordCompletion();
     }
 
     /**
-     * Returns the replica's name: its address.
+     * Returns the replica's address, which is also its name.
      *
      * @return the address
      */
@@ -208,7 +210,7 @@
     }
 
     /**
-     * Returns the hash of the replica's name, for orders that all routers agree on.
+     * Returns the hash of the replica's address, from which all routers derive the same order.
      *
      * @return the hash
      */
@@ -217,7 +219,7 @@
     }
 
     /**
-     * Returns the replica's line in the host list.
+     * Returns the replica's entry in the host list.
      *
      * @return the endpoint
      */
@@ -226,7 +228,7 @@
     }
 
     /**
-     * Returns the incarnation last reported.
+     * Returns the last reported incarnation.
      *
      * @return the incarnation; empty before the first report
      */
@@ -235,7 +237,7 @@
     }
 
     /**
-     * Returns the model last reported.
+     * Returns the last reported model.
      *
      * @return the model; empty before the first report
      */
@@ -244,7 +246,7 @@
     }
 
     /**
-     * Returns the version of the weights last reported.
+     * Returns the last reported version of the weights.
      *
      * @return the version; empty before the first report
      */
@@ -253,16 +255,16 @@
     }
 
     /**
-     * Returns the belief about the replica's cache.
+     * Returns the estimate of the prefixes that the replica has cached.
      *
-     * @return the belief about the present incarnation
+     * @return the estimate for the current incarnation
      */
-    public CachedPrefixes cached() {
-        return cached;
+    public CachedPrefixes cachedPrefixes() {
+        return cachedPrefixes;
     }
 
     /**
-     * Returns the guard that ejects the replica when it keeps failing.
+     * Returns the guard that ejects the replica while it keeps failing.
      *
      * @return the guard
      */
@@ -271,11 +273,11 @@
     }
 
     /**
-     * Counts streams believed to run at the replica, this router's and others'.
+     * Returns the estimated number of streams running on the replica, from this router and from others.
      *
-     * @return streams
+     * @return the number of streams
      */
     public int streams() {
-        return ownStreams + othersStreams;
+        return ownStreams + otherRoutersStreams;
     }
 }
--- a/core/src/main/java/org/hornbeamhead/core/placement/ReplicaRing.java
+++ b/core/src/main/java/org/hornbeamhead/core/placement/ReplicaRing.java
@@ -10,16 +10,18 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * A consistent hash ring: a pure function of the replicas' names. Every router that knows the same names walks the same
- * order, so that placements agree without a message. Immutable; a change of replicas makes a new ring.
+ * A consistent hash ring, which is a pure function of the replicas' names. All routers that know the same names get the
+ * same order, so that their placements agree without communication. Immutable; a change of replicas creates a new ring.
  *
- * <p>A look-up costs a binary search. Each replica owns {@value #POINTS} points, which keeps the largest arc near the
- * mean.
+ * <p>A lookup is a binary search. Each replica owns {@value #POINTS_PER_REPLICA} points, which keeps the largest arc
+ * near the mean.
  */
 public final class ReplicaRing {
-    private static final int POINTS = 64;
+    private static final int POINTS_PER_REPLICA = 64;
 
-    /** The low bits of a point name its owner, so that points and owners are sorted together as plain numbers. */
+    /**
+     * The low bits of a point hold the index of its owner, so that points and owners are sorted together as numbers.
+     */
     private static final long OWNER_MASK = (1L << 20) - 1;
 
     private final List<String> names;
@@ -31,18 +33,18 @@
     }
 
     /**
-     * Builds a ring.
+     * Creates a ring.
      *
-     * @param replicas the names; order and doubles do not matter
+     * @param replicas the names of the replicas; order and duplicates are ignored
      * @return the ring
      */
     public static ReplicaRing of(Collection<String> replicas) {
         List<String> names = replicas.stream().distinct().sorted().toList();
-        long[] points = new long[names.size() * POINTS];
+        long[] points = new long[names.size() * POINTS_PER_REPLICA];
         for (int i = 0; i < names.size(); i++) {
             long seed = LongHashFunction.xx3().hashBytes(names.get(i).getBytes(StandardCharsets.UTF_8));
-            for (int p = 0; p < POINTS; p++) {
-                points[i * POINTS + p] = (mix(seed, p) & ~OWNER_MASK) | i;
+            for (int p = 0; p < POINTS_PER_REPLICA; p++) {
+                points[i * POINTS_PER_REPLICA + p] = (mix(seed, p) & ~OWNER_MASK) | i;
             }
         }
         Arrays.sort(points);
@@ -50,29 +52,29 @@
     }
 
     /**
-     * Gives a ring of other replicas; this one when they are the same.
+     * Returns a ring of the given replicas, or this one if they are the same.
      *
-     * @param replicas the names; order and doubles do not matter
+     * @param replicas the names of the replicas; order and duplicates are ignored
      * @return the ring
      */
-    public ReplicaRing with(Collection<String> replicas) {
+    public ReplicaRing withReplicas(Collection<String> replicas) {
         boolean same = replicas.size() == names.size() && new HashSet<>(names).containsAll(replicas);
         return same ? this : of(replicas);
     }
 
     /**
-     * Walks the ring from a key.
+     * Returns the replicas that follow a key on the ring.
      *
      * @param key the key
-     * @param count how many replicas at most
+     * @param count the maximum number of replicas
      * @return distinct names in ring order
      */
     public List<String> walk(long key, int count) {
         int wanted = Math.min(count, names.size());
         List<String> found = new ArrayList<>(wanted);
         BitSet seen = new BitSet(names.size());
-        int at = Arrays.binarySearch(points, mix(key, 0));
-        int start = at >= 0 ? at : -at - 1;
+        int position = Arrays.binarySearch(points, mix(key, 0));
+        int start = position >= 0 ? position : -position - 1;
         for (int i = 0; i < points.length && found.size() < wanted; i++) {
             int owner = (int) (points[(start + i) % points.length] & OWNER_MASK);
             if (!seen.get(owner)) {
@@ -84,7 +86,7 @@
     }
 
     /**
-     * Counts the replicas.
+     * Returns the number of replicas.
      *
      * @return the number of distinct names
      */
@@ -93,16 +95,16 @@
     }
 
     /**
-     * Mixes two numbers into one that is spread evenly (the finalizer of SplitMix64).
+     * Hashes two numbers to one that is evenly distributed (the finalizer of SplitMix64).
      *
-     * @param a a number
-     * @param b a number
-     * @return the mix
+     * @param a the first number
+     * @param b the second number
+     * @return the hash
      */
     public static long mix(long a, long b) {
-        long z = a + 0x9E3779B97F4A7C15L * (b + 1);
-        z = (z ^ (z >>> 30)) * 0xBF58476D1CE4E5B9L;
-        z = (z ^ (z >>> 27)) * 0x94D049BB133111EBL;
-        return z ^ (z >>> 31);
+        long hash = a + 0x9E3779B97F4A7C15L * (b + 1);
+        hash = (hash ^ (hash >>> 30)) * 0xBF58476D1CE4E5B9L;
+        hash = (hash ^ (hash >>> 27)) * 0x94D049BB133111EBL;
+        return hash ^ (hash >>> 31);
     }
 }
--- a/core/src/main/java/org/hornbeamhead/core/placement/ReplicaSubset.java
+++ b/core/src/main/java/org/hornbeamhead/core/placement/ReplicaSubset.java
@@ -7,42 +7,43 @@
 import org.hornbeamhead.core.endpoint.Endpoint;
 
 /**
- * Which replicas of a pool the routers of one data centre use. A pure function, so that they all use the same.
+ * Selects the replicas of a pool that the routers of one data centre use. The selection is a pure function, so that all
+ * these routers use the same replicas.
  *
- * <p>Of a small pool all are used, wherever they stand. Of a large one, those in the routers' own data centre are used,
- * and where these are few, more are taken off the ring, so that what a router keeps and asks does not grow with the
- * fleet.
+ * <p>In a small pool all replicas are used, in whichever data centre they run. In a large pool the replicas in the
+ * routers' own data centre are used; if these are few, others are added from the hash ring. The state that a router
+ * keeps and the load reports that it requests therefore do not grow with the fleet.
  */
 public final class ReplicaSubset {
-    /** The most replicas of a pool that are used when the own data centre has fewer. */
-    public static final int ENOUGH = 64;
+    /** The number of replicas of a larger pool that are used if the routers' own data centre has fewer. */
+    public static final int MIN_SIZE = 64;
 
     private ReplicaSubset() {}
 
     /**
-     * Chooses.
+     * Selects the replicas.
      *
      * @param listed the pool's endpoints in all data centres
      * @param dataCentre the routers' data centre
-     * @return those to use, in the order given
+     * @return the endpoints to use, in the given order
      */
-    public static List<Endpoint> choose(List<Endpoint> listed, String dataCentre) {
-        if (listed.size() <= ENOUGH) {
+    public static List<Endpoint> select(List<Endpoint> listed, String dataCentre) {
+        if (listed.size() <= MIN_SIZE) {
             return listed;
         }
-        List<Endpoint> near =
+        List<Endpoint> local =
                 listed.stream().filter(e -> e.dataCentre().equals(dataCentre)).toList();
-        if (near.size() >= ENOUGH) {
-            return near;
+        if (local.size() >= MIN_SIZE) {
+            return local;
         }
         long key = LongHashFunction.xx3().hashBytes(dataCentre.getBytes(StandardCharsets.UTF_8));
-        ReplicaRing far = ReplicaRing.of(listed.stream()
+        ReplicaRing remoteRing = ReplicaRing.of(listed.stream()
                 .filter(e -> !e.dataCentre().equals(dataCentre))
                 .map(Endpoint::address)
                 .toList());
-        Set<String> more = Set.copyOf(far.walk(key, ENOUGH - near.size()));
+        Set<String> selectedRemote = Set.copyOf(remoteRing.walk(key, MIN_SIZE - local.size()));
         return listed.stream()
-                .filter(e -> e.dataCentre().equals(dataCentre) || more.contains(e.address()))
+                .filter(e -> e.dataCentre().equals(dataCentre) || selectedRemote.contains(e.address()))
                 .toList();
     }
 }
--- a/core/src/main/java/org/hornbeamhead/core/placement/ReplicaTable.java
+++ b/core/src/main/java/org/hornbeamhead/core/placement/ReplicaTable.java
@@ -13,7 +13,7 @@
 import org.hornbeamhead.core.retry.OutlierGuard;
 import org.hornbeamhead.core.time.Clock;
 
-/** One router's view of one pool. Owned by the router's thread. */
+/** One router's view of the replicas of one pool. Owned by the router's thread. */
 public final class ReplicaTable {
     private final Clock clock;
     private final Map<String, Replica> byAddress = new LinkedHashMap<>();
@@ -21,7 +21,7 @@
     private String model = "";
 
     /**
-     * Makes an empty table.
+     * Creates an empty table.
      *
      * @param clock the clock
      */
@@ -30,16 +30,16 @@
     }
 
     /**
-     * Takes over the pool's lines of the host list. Replicas that are still listed keep what is known of them.
+     * Sets the pool's endpoints from the host list. The state of replicas that are still listed is kept.
      *
-     * @param listed the pool's endpoints
+     * @param endpoints the pool's endpoints
      */
-    public void listed(Collection<Endpoint> listed) {
-        Map<String, Endpoint> wanted = listed.stream()
+    public void setEndpoints(Collection<Endpoint> endpoints) {
+        Map<String, Endpoint> byEndpointAddress = endpoints.stream()
                 .collect(Collectors.toMap(Endpoint::address, Function.identity(), (a, b) -> b, LinkedHashMap::new));
-        byAddress.keySet().retainAll(wanted.keySet());
-        wanted.values().forEach(this::update);
-        rebuild();
+        byAddress.keySet().retainAll(byEndpointAddress.keySet());
+        byEndpointAddress.values().forEach(this::update);
+        rebuildRing();
     }
 
     private void update(Endpoint endpoint) {
@@ -49,93 +49,94 @@
     }
 
     /**
-     * Takes in a load report. A replica that serves another model than the pool's is no candidate.
+     * Applies a load report. A replica that serves another model than the pool's is removed from the ring.
      *
-     * @param address the replica
-     * @param report its report
+     * @param address the replica's address
+     * @param report the load report
      */
-    public void report(String address, LoadReport report) {
+    public void applyReport(String address, LoadReport report) {
         Replica replica = byAddress.get(address);
         if (replica == null) {
             return;
         }
-        boolean before = onRing(replica);
-        replica.report(report, clock.monotonicMillis());
-        if (before != onRing(replica)) {
-            rebuild();
+        boolean wasOnRing = belongsOnRing(replica);
+        replica.applyReport(report, clock.monotonicMillis());
+        if (wasOnRing != belongsOnRing(replica)) {
+            rebuildRing();
         }
     }
 
     /**
      * Sets the model that the pool serves.
      *
-     * @param wanted the model; empty accepts any
+     * @param wanted the model; empty if any model is accepted
      */
-    public void model(String wanted) {
+    public void setModel(String wanted) {
         if (!model.equals(wanted)) {
             model = wanted;
-            rebuild();
+            rebuildRing();
         }
     }
 
     /**
-     * Notes a dispatch.
+     * Records that a request was sent to a replica.
      *
-     * @param chain the prompt's levels
-     * @param choice what was chosen
+     * @param chain the prompt's prefix levels
+     * @param choice the choice of the replica
      */
-    public void dispatched(PrefixChain chain, PlacementChoice choice) {
-        choice.replica().dispatched(chain, choice.missedTokens(), clock.monotonicMillis());
+    public void recordDispatch(PrefixChain chain, PlacementChoice choice) {
+        choice.replica().recordDispatch(chain, choice.uncachedTokens(), clock.monotonicMillis());
     }
 
     /**
-     * Notes a first token, which frees the replica's prefill and teaches its speed.
+     * Records the first token of a response, which ends the request's prefill and updates the estimate of the replica's
+     * speed.
      *
-     * @param choice what was chosen
-     * @param elapsedMillis the time since dispatch
+     * @param choice the choice of the replica
+     * @param elapsedMillis the time since dispatch, in milliseconds
      */
-    public void firstToken(PlacementChoice choice, double elapsedMillis) {
-        choice.replica().firstToken(choice, elapsedMillis, clock.monotonicMillis());
+    public void recordFirstToken(PlacementChoice choice, double elapsedMillis) {
+        choice.replica().recordFirstToken(choice, elapsedMillis, clock.monotonicMillis());
     }
 
     /**
-     * Notes a whole answer.
+     * Records a complete response.
      *
-     * @param choice what was chosen
-     * @param cachedTokens the cached tokens that the engine counted; negative when it gave no count
+     * @param choice the choice of the replica
+     * @param cachedTokens the number of cached tokens that the engine reported; negative if it reported none
      */
-    public void ended(PlacementChoice choice, int cachedTokens) {
-        choice.replica().ended();
+    public void recordCompletion(PlacementChoice choice, int cachedTokens) {
+        choice.replica().recordCompletion();
         choice.replica().outlier().succeeded();
         if (cachedTokens >= 0) {
-            choice.replica().cached().correct(choice.belief(), cachedTokens);
+            choice.replica().cachedPrefixes().recordCachedTokens(choice.cacheEstimate(), cachedTokens);
         }
     }
 
     /**
-     * Notes an attempt that was given up.
+     * Records an abandoned attempt.
      *
-     * @param choice what was chosen
-     * @param sawFirstToken whether the first token had come
+     * @param choice the choice of the replica
+     * @param sawFirstToken whether the first token had been received
      */
-    public void abandoned(PlacementChoice choice, boolean sawFirstToken) {
-        choice.replica().abandoned(sawFirstToken ? 0 : choice.missedTokens());
+    public void recordAbandoned(PlacementChoice choice, boolean sawFirstToken) {
+        choice.replica().recordAbandoned(sawFirstToken ? 0 : choice.uncachedTokens());
     }
 
     /**
-     * Finds a replica.
+     * Returns the replica at an address.
      *
-     * @param address its address
-     * @return the replica, empty when not listed
+     * @param address the address
+     * @return the replica; empty if it is not listed
      */
     public Optional<Replica> find(String address) {
         return Optional.ofNullable(byAddress.get(address));
     }
 
     /**
-     * Returns all replicas listed.
+     * Returns all listed replicas.
      *
-     * @return a live view, not to be changed
+     * @return a live view, which must not be modified
      */
     public Collection<Replica> replicas() {
         return byAddress.values();
@@ -159,15 +160,15 @@
         return clock;
     }
 
-    private boolean onRing(Replica replica) {
+    private boolean belongsOnRing(Replica replica) {
         boolean unknown = replica.model().isEmpty();
         return !replica.endpoint().leaving()
                 && (model.isEmpty() || unknown || replica.model().equals(model));
     }
 
-    private void rebuild() {
-        ring = ring.with(byAddress.values().stream()
-                .filter(this::onRing)
+    private void rebuildRing() {
+        ring = ring.withReplicas(byAddress.values().stream()
+                .filter(this::belongsOnRing)
                 .map(Replica::address)
                 .toList());
     }
--- a/core/src/main/java/org/hornbeamhead/core/store/StoreReply.java
+++ b/core/src/main/java/org/hornbeamhead/core/store/StoreReply.java
@@ -2,43 +2,43 @@
 
 import java.util.Optional;
 
-/** What a call to the platform's key-value service came to. */
+/** The outcome of a call to the platform's key-value service. */
 public sealed interface StoreReply {
     /**
-     * The entry that was read, or written.
+     * The entry was read or written.
      *
      * @param entry the entry
      */
     record Found(StoreEntry entry) implements StoreReply {}
 
-    /** There is no such key or lease. */
+    /** The key or lease does not exist. */
     record Missing() implements StoreReply {}
 
     /**
-     * The key had another version, so nothing was written.
+     * The key had another version than expected, and nothing was written.
      *
-     * @param current the present entry, empty when the key is absent
+     * @param current the current entry; empty if the key does not exist
      */
     record Conflict(Optional<StoreEntry> current) implements StoreReply {}
 
     /**
      * A lease was granted or renewed.
      *
-     * @param lease its id
+     * @param lease the id of the lease
      */
     record Leased(String lease) implements StoreReply {}
 
     /**
-     * The call surely had no effect.
+     * The call certainly had no effect.
      *
-     * @param why for the log
+     * @param why the cause, for the log
      */
     record Failed(String why) implements StoreReply {}
 
     /**
-     * The call may have taken effect, now or later.
+     * The call may have taken effect, or may still do so.
      *
-     * @param why for the log
+     * @param why the cause, for the log
      */
     record InDoubt(String why) implements StoreReply {}
 }
--- a/core/src/main/java/org/hornbeamhead/core/ticket/Ticket.java
+++ b/core/src/main/java/org/hornbeamhead/core/ticket/Ticket.java
@@ -3,39 +3,39 @@
 import java.util.Optional;
 
 /**
- * The right to run one request through one router incarnation.
+ * A ticket that permits one request to run through one incarnation of a router.
  *
  * @param holder the issuing router's address and incarnation, joined by {@code ~}
- * @param number the ticket's number, which cannot be guessed
+ * @param number the ticket's random number, which cannot be guessed
  */
 public record Ticket(String holder, String number) {
     private static final String PREFIX = "ticket:";
 
     /**
-     * Reads a ticket.
+     * Parses a ticket.
      *
      * @param text the idempotency key of a request
-     * @return the ticket, empty when the key is none
+     * @return the ticket; empty if the key is not a ticket
      */
     public static Optional<Ticket> parse(String text) {
-        int bang = text.indexOf('!');
-        if (!text.startsWith(PREFIX) || bang < 0 || text.indexOf('~') < 0 || text.indexOf('~') > bang) {
+        int separator = text.indexOf('!');
+        if (!text.startsWith(PREFIX) || separator < 0 || text.indexOf('~') < 0 || text.indexOf('~') > separator) {
             return Optional.empty();
         }
-        return Optional.of(new Ticket(text.substring(PREFIX.length(), bang), text.substring(bang + 1)));
+        return Optional.of(new Ticket(text.substring(PREFIX.length(), separator), text.substring(separator + 1)));
     }
 
     /**
-     * Writes the ticket.
+     * Formats the ticket.
      *
-     * @return the text that {@link #parse} reads
+     * @return the text, in the form read by {@link #parse}
      */
     public String format() {
         return PREFIX + holder + "!" + number;
     }
 
     /**
-     * Returns where the ticket can be used.
+     * Returns the address at which the ticket can be used.
      *
      * @return the issuing router's address for callers
      */
--- a/core/src/main/java/org/hornbeamhead/core/ticket/TicketResult.java
+++ b/core/src/main/java/org/hornbeamhead/core/ticket/TicketResult.java
@@ -1,15 +1,15 @@
 package org.hornbeamhead.core.ticket;
 
-/** What a ticket is worth to the router that was shown it. */
+/** The result of presenting a ticket to a router. */
 public enum TicketResult {
-    /** The request may run, now and once. */
+    /** The request may run now, once. */
     GRANTED,
-    /** The ticket was used before: its request may have run. */
+    /** The ticket was used before, and its request may have run. */
     SPENT,
-    /** The ticket is too old, or was never issued. A spent one may be forgotten by now. */
+    /** The ticket has expired or was never issued. It may have been spent before it expired. */
     EXPIRED,
-    /** Another router issued it; the request belongs there. */
+    /** Another router issued the ticket; the request must be sent to that router. */
     FOREIGN,
-    /** An earlier incarnation of this router issued it. Whether its request ran is no longer known. */
+    /** An earlier incarnation of this router issued the ticket. Whether its request ran is no longer known. */
     HOLDER_GONE
 }
--- a/core/src/test/java/org/hornbeamhead/core/admission/AdmissionTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/admission/AdmissionTest.java
@@ -30,8 +30,8 @@
     /** A replica with so many prompt tokens ahead, at 0.05 ms each. */
     private PlacementChoice choice(long waitingTokens) {
         ReplicaTable table = new ReplicaTable(clock);
-        table.listed(List.of(new Endpoint(EndpointKind.ENGINE, "p", "e", "", "dc", false)));
-        table.report("e", new LoadReport("i", "m", "w", waitingTokens, 0, false));
+        table.setEndpoints(List.of(new Endpoint(EndpointKind.ENGINE, "p", "e", "", "dc", false)));
+        table.applyReport("e", new LoadReport("i", "m", "w", waitingTokens, 0, false));
         PrefixChain chain = PrefixHasher.plain(new PrefixSeed("c", "m", "w", ""), "x".repeat(4_000));
         return PrefixPlacement.predict(
                 table.find("e").orElseThrow(), chain, clock.monotonicMillis(), PlacementReason.LEAST_RECOMPUTED);
--- a/core/src/test/java/org/hornbeamhead/core/claim/ClaimBatcherTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/claim/ClaimBatcherTest.java
@@ -22,7 +22,7 @@
 
 public class ClaimBatcherTest {
     private static final long START_MILLIS = 1_800_000_000_000L;
-    private static final ClaimLimits LIMITS = new ClaimLimits(2, 1_000, 5, 10, 4);
+    private static final ClaimStoreConfig CONFIG = new ClaimStoreConfig(2, 1_000, 5, 10, 4);
 
     private FakeStore store;
     private ManualClock clock;
@@ -37,36 +37,36 @@
         random = new SplittableRandom(7);
     }
 
-    private ClaimBatcher router() {
-        return new ClaimBatcher(store, clock, timers, LIMITS);
+    private ClaimBatcher batcher() {
+        return new ClaimBatcher(store, clock, timers, CONFIG);
     }
 
     private UUID id() {
         return ClaimIds.next(clock.wallMillis(), random);
     }
 
-    private ClaimResult claim(ClaimBatcher router, UUID id, long attempt) {
+    private ClaimResult claim(ClaimBatcher batcher, UUID id, long attempt) {
         AtomicReference<ClaimResult> result = new AtomicReference<>();
-        router.claim(new Claim(id, attempt)).thenAccept(result::set);
+        batcher.claim(new Claim(id, attempt)).thenAccept(result::set);
         timers.advance(500);
         return result.get();
     }
 
-    // The caller sends the same letter twice at once, through two routers. Both read the free id; one write wins, the
-    // other finds the winner's attempt in the value. Exactly one may run it.
+    // A caller sends the same request through two routers at once, and both claim its id. One write succeeds; the other
+    // router finds the first one's attempt in the stored value. Granting both would run the request twice.
     @Test
-    public void oneOfTwoRoutersIsGranted() {
+    public void onlyOneOfTwoConcurrentClaimsIsGranted() {
         UUID id = id();
         AtomicReference<ClaimResult> first = new AtomicReference<>();
         AtomicReference<ClaimResult> second = new AtomicReference<>();
-        router().claim(new Claim(id, 1)).thenAccept(first::set);
-        router().claim(new Claim(id, 2)).thenAccept(second::set);
+        batcher().claim(new Claim(id, 1)).thenAccept(first::set);
+        batcher().claim(new Claim(id, 2)).thenAccept(second::set);
         timers.advance(500);
         assertEquals(List.of(first.get(), second.get()), List.of(ClaimResult.GRANTED, ClaimResult.TAKEN));
     }
 
-    // A write's fate differs, the caller's view must not: what took effect is granted to its own attempt although the
-    // answer was lost; what had no effect is written again; what stays unclear is never granted.
+    // A write may be refused, or its request or reply may be lost. A claim that took effect must be granted to its own
+    // attempt although the reply was lost; one without effect is written again; one that stays in doubt is not granted.
     @DataProvider
     public Object[][] writeFaults() {
         return new Object[][] {
@@ -84,108 +84,108 @@
     }
 
     @Test(dataProvider = "writeFaults")
-    public void lostAnswersAreSettled(Fault[] faults, ClaimResult expected) {
-        store.failWrites(faults);
-        assertEquals(claim(router(), id(), 1), expected);
+    public void writeFaultsGiveExpectedResult(Fault[] faults, ClaimResult expected) {
+        store.failNextWrites(faults);
+        assertEquals(claim(batcher(), id(), 1), expected);
     }
 
-    // During an outage nothing can be claimed, and the answer says that surely nothing was. Afterwards the same id
-    // runs.
+    // During an outage of the store a claim certainly has no effect, which its result must say, so that the same id can
+    // be claimed afterwards.
     @Test
-    public void outageIsUnavailableAndTheIdStaysFree() {
+    public void idIsUnavailableDuringOutageAndCanBeClaimedAfterwards() {
         UUID id = id();
-        store.outage(true);
-        assertEquals(claim(router(), id, 1), ClaimResult.UNAVAILABLE);
-        store.outage(false);
-        assertEquals(claim(router(), id, 2), ClaimResult.GRANTED);
+        store.setOutage(true);
+        assertEquals(claim(batcher(), id, 1), ClaimResult.UNAVAILABLE);
+        store.setOutage(false);
+        assertEquals(claim(batcher(), id, 2), ClaimResult.GRANTED);
     }
 
-    // A router is paused with a claim in hand; an hour later it goes on with a clock that stood still. The slot has
-    // moved
-    // on to a later window, so that the old claim is refused for good instead of being taken for free.
+    // A router is paused before it sends a claim and resumes after the retention, with a clock that did not advance.
+    // The
+    // slot has been reused for a later window by then. The claim must expire; granting it would run the request twice.
     @Test
-    public void pausedRouterCannotClaimWhatWasForgotten() {
+    public void pausedRouterCannotClaimIdOfReusedSlot() {
         UUID old = id();
-        assertEquals(claim(router(), old, 1), ClaimResult.GRANTED);
-        ManualClock stopped = new ManualClock(START_MILLIS);
-        ClaimBatcher paused = new ClaimBatcher(store, stopped, timers, LIMITS);
-        clock.advance(LIMITS.windowMillis() * LIMITS.slots());
-        // Enough claims that each partition's slots have moved on.
+        assertEquals(claim(batcher(), old, 1), ClaimResult.GRANTED);
+        ManualClock stoppedClock = new ManualClock(START_MILLIS);
+        ClaimBatcher paused = new ClaimBatcher(store, stoppedClock, timers, CONFIG);
+        clock.advance(CONFIG.windowMillis() * CONFIG.slots());
+        // These are enough claims to reuse the slot in each partition.
         for (int i = 0; i < 60; i++) {
-            assertEquals(claim(router(), id(), i), ClaimResult.GRANTED);
+            assertEquals(claim(batcher(), id(), i), ClaimResult.GRANTED);
         }
         assertEquals(claim(paused, old, 2), ClaimResult.EXPIRED);
     }
 
     @Test
-    public void anOldIdIsExpiredAndOneFromTheFutureNotClaimed() {
+    public void oldIdIsExpiredAndFutureIdIsUnavailable() {
         UUID old = id();
         UUID future = ClaimIds.next(START_MILLIS + 3_600_000, random);
-        assertEquals(claim(router(), future, 1), ClaimResult.UNAVAILABLE);
-        clock.advance(LIMITS.retentionMillis() + 1);
-        assertEquals(claim(router(), old, 1), ClaimResult.EXPIRED);
+        assertEquals(claim(batcher(), future, 1), ClaimResult.UNAVAILABLE);
+        clock.advance(CONFIG.retentionMillis() + 1);
+        assertEquals(claim(batcher(), old, 1), ClaimResult.EXPIRED);
         assertEquals(store.writes(), 0);
     }
 
-    // Callers send ids again and again through four routers while writes are refused, lost before or after they took
-    // effect. Whatever happens, no id is granted twice.
+    // Callers send ids repeatedly through four routers while writes are refused or lost, before or after they took
+    // effect. No id may be granted twice.
     @Test
     public void noIdIsGrantedTwiceUnderRandomFaults() {
-        List<ClaimBatcher> routers = List.of(router(), router(), router(), router());
+        List<ClaimBatcher> routers = List.of(batcher(), batcher(), batcher(), batcher());
         Map<UUID, Integer> granted = new HashMap<>();
-        sendAgainAndAgain(42, (router, id, attempt) -> routers.get(router)
+        sendRepeatedClaims(42, (router, id, attempt) -> routers.get(router)
                 .claim(new Claim(id, attempt))
-                .thenAccept(result -> count(granted, id, result == ClaimResult.GRANTED)));
+                .thenAccept(result -> countGrant(granted, id, result == ClaimResult.GRANTED)));
         assertTrue(granted.values().stream().allMatch(n -> n <= 1), "seed 42");
         assertTrue(granted.size() > 1_500, "only " + granted.size() + " ids were granted");
     }
 
-    // The naive way, in which each router remembers the ids that it ran itself, doubles ids under the same sending.
+    // Control for the test above: with the same load, routers that remember only their own ids grant ids twice.
     @Test
-    public void routersThatOnlyRememberTheirOwnIdsDoubleThem() {
+    public void routersWithLocalMemoryGrantIdsTwice() {
         List<Set<UUID>> remembered = List.of(new HashSet<>(), new HashSet<>(), new HashSet<>(), new HashSet<>());
         Map<UUID, Integer> granted = new HashMap<>();
-        sendAgainAndAgain(
+        sendRepeatedClaims(
                 42,
                 (router, id, attempt) ->
-                        count(granted, id, remembered.get(router).add(id)));
+                        countGrant(granted, id, remembered.get(router).add(id)));
         assertTrue(granted.values().stream().anyMatch(n -> n > 1));
     }
 
-    private interface Send {
-        void to(int router, UUID id, long attempt);
+    private interface ClaimSender {
+        void send(int router, UUID id, long attempt);
     }
 
-    private static void count(Map<UUID, Integer> granted, UUID id, boolean runs) {
+    private static void countGrant(Map<UUID, Integer> granted, UUID id, boolean runs) {
         if (runs) {
             granted.merge(id, 1, Integer::sum);
         }
     }
 
-    private void sendAgainAndAgain(long seed, Send send) {
-        SplittableRandom draws = new SplittableRandom(seed);
+    private void sendRepeatedClaims(long seed, ClaimSender sender) {
+        SplittableRandom scheduleRandom = new SplittableRandom(seed);
         List<UUID> ids = new ArrayList<>();
         for (int i = 0; i < 2_000; i++) {
             ids.add(id());
-            for (int again = 0; again < 3; again++) {
-                UUID id = ids.get(Math.max(0, ids.size() - 1 - draws.nextInt(4)));
-                if (draws.nextInt(4) == 0) {
-                    store.failWrites(Fault.values()[draws.nextInt(Fault.values().length)]);
+            for (int repeat = 0; repeat < 3; repeat++) {
+                UUID id = ids.get(Math.max(0, ids.size() - 1 - scheduleRandom.nextInt(4)));
+                if (scheduleRandom.nextInt(4) == 0) {
+                    store.failNextWrites(Fault.values()[scheduleRandom.nextInt(Fault.values().length)]);
                 }
-                send.to(draws.nextInt(4), id, draws.nextLong());
+                sender.send(scheduleRandom.nextInt(4), id, scheduleRandom.nextLong());
             }
-            timers.advance(draws.nextInt(8));
+            timers.advance(scheduleRandom.nextInt(8));
         }
         timers.advance(1_000);
     }
 
-    // Group commit: a thousand claims that arrive together cost a few writes.
+    // Group commit: 1,000 claims that arrive together must need only a few writes.
     @Test
-    public void claimsThatWaitTogetherShareWrites() {
-        ClaimBatcher router = router();
+    public void concurrentClaimsShareWrites() {
+        ClaimBatcher batcher = batcher();
         List<ClaimResult> results = new ArrayList<>();
         for (int i = 0; i < 1_000; i++) {
-            router.claim(new Claim(id(), i)).thenAccept(results::add);
+            batcher.claim(new Claim(id(), i)).thenAccept(results::add);
         }
         timers.advance(1_000);
         assertEquals(results.size(), 1_000);
--- a/core/src/test/java/org/hornbeamhead/core/config/ConfigLogTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/config/ConfigLogTest.java
@@ -75,7 +75,7 @@
 
     @Test(dataProvider = "writeFaults")
     public void lostAnswersAreSettledByReadingBack(Fault[] faults, Class<?> expected) {
-        store.failWrites(faults);
+        store.failNextWrites(faults);
         AppendResult result = append(ConfigState.NONE, FIRST, "c1");
         assertEquals(result.getClass(), expected);
         assertTrue(latest(ConfigState.NONE).version() <= 1);
@@ -85,7 +85,7 @@
     @Test
     public void aStaleHintDoesNotHideAVersion() {
         ConfigState one = accepted(append(ConfigState.NONE, FIRST, "c1"));
-        store.failWrites(Fault.NONE, Fault.REFUSED);
+        store.failNextWrites(Fault.NONE, Fault.REFUSED);
         append(one, FIRST + "; more\n", "c2");
         assertEquals(store.value(ConfigLog.HEAD).orElseThrow(), "1 1");
         assertEquals(latest(ConfigState.NONE).version(), 2);
@@ -122,7 +122,7 @@
         for (int i = 0; i < 300; i++) {
             int who = draws.nextInt(5);
             if (draws.nextInt(3) == 0) {
-                store.failWrites(Fault.values()[draws.nextInt(Fault.values().length)]);
+                store.failNextWrites(Fault.values()[draws.nextInt(Fault.values().length)]);
             }
             String id = "c" + i;
             AppendResult result = append(operators.get(who), FIRST + "[class k" + who + "]\nkind = " + i + "\n", id);
--- a/core/src/test/java/org/hornbeamhead/core/placement/PrefixPlacementTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/placement/PrefixPlacementTest.java
@@ -34,14 +34,15 @@
         clock = new ManualClock(0);
         clock.advance(100_000);
         placement = new PrefixPlacement();
-        table = fleet(8);
+        table = replicaTable(8);
     }
 
-    private ReplicaTable fleet(int size) {
-        ReplicaTable made = new ReplicaTable(clock);
-        made.listed(IntStream.range(0, size).mapToObj(i -> endpoint(i, false)).toList());
-        IntStream.range(0, size).forEach(i -> made.report("e" + i, report("inc-" + i, "w1", 0)));
-        return made;
+    private ReplicaTable replicaTable(int size) {
+        ReplicaTable replicas = new ReplicaTable(clock);
+        replicas.setEndpoints(
+                IntStream.range(0, size).mapToObj(i -> endpoint(i, false)).toList());
+        IntStream.range(0, size).forEach(i -> replicas.applyReport("e" + i, report("inc-" + i, "w1", 0)));
+        return replicas;
     }
 
     private static Endpoint endpoint(int i, boolean leaving) {
@@ -59,63 +60,63 @@
     private PlacementChoice send(PrefixChain chain) {
         PlacementChoice choice =
                 placement.choose(table, chain, TARGET, Set.of()).orElseThrow();
-        table.dispatched(chain, choice);
-        table.firstToken(choice, choice.firstTokenMillis());
-        table.ended(choice, choice.belief().tokens());
+        table.recordDispatch(chain, choice);
+        table.recordFirstToken(choice, choice.firstTokenMillis());
+        table.recordCompletion(choice, choice.cacheEstimate().tokens());
         return choice;
     }
 
-    // Two routers that never spoke place the same dossier on the same replica.
+    // Routers that do not communicate must place the same dossier on the same replica.
     @Test
-    public void routersAgreeWithoutTalking() {
-        ReplicaTable other = fleet(8);
+    public void independentRoutersChooseTheSameReplica() {
+        ReplicaTable other = replicaTable(8);
         for (int i = 0; i < 50; i++) {
             PrefixChain chain = chain(SEED, "house" + i % 3, "dossier" + i);
-            String here = placement
+            String chosen = placement
                     .choose(table, chain, TARGET, Set.of())
                     .orElseThrow()
                     .replica()
                     .address();
-            String there = new PrefixPlacement()
+            String chosenByOther = new PrefixPlacement()
                     .choose(other, chain, TARGET, Set.of())
                     .orElseThrow()
                     .replica()
                     .address();
-            assertEquals(here, there);
+            assertEquals(chosen, chosenByOther);
         }
     }
 
     @Test
-    public void aDossierStaysWhereItIsCached() {
+    public void repeatedDossierIsPlacedOnTheReplicaThatCachedIt() {
         PlacementChoice first = send(chain(SEED, "house", "dossier"));
         PlacementChoice second = send(chain(SEED, "house", "dossier"));
         assertEquals(second.replica().address(), first.replica().address());
-        assertTrue(second.missedTokens() < first.missedTokens() / 10);
+        assertTrue(second.uncachedTokens() < first.uncachedTokens() / 10);
     }
 
-    // The engine crashed and came back cold at the same address. No entry of the old incarnation is relied upon, also
-    // when a late report of the old incarnation's load comes after.
+    // An engine that restarts at the same address, or loads other weights, has an empty cache. Estimates of the earlier
+    // incarnation or weights must not be used for it.
     @DataProvider
-    public Object[][] changes() {
+    public Object[][] changedReports() {
         return new Object[][] {{report("inc-new", "w1", 0)}, {report("inc-0", "w2", 0)}};
     }
 
     @Test
-    public void nothingIsBelievedOfACrashedEngineOrOfOtherWeights() {
-        for (Object[] change : changes()) {
+    public void cacheEstimateIsResetByNewIncarnationOrWeights() {
+        for (Object[] change : changedReports()) {
             setUp();
             PrefixChain chain = chain(SEED, "house", "dossier");
             PlacementChoice first = send(chain);
             assertTrue(first.replica()
-                            .cached()
-                            .belief(chain, clock.monotonicMillis())
+                            .cachedPrefixes()
+                            .estimate(chain, clock.monotonicMillis())
                             .tokens()
                     > 0);
-            table.report(first.replica().address(), (LoadReport) change[0]);
+            table.applyReport(first.replica().address(), (LoadReport) change[0]);
             assertEquals(
                     first.replica()
-                            .cached()
-                            .belief(chain, clock.monotonicMillis())
+                            .cachedPrefixes()
+                            .estimate(chain, clock.monotonicMillis())
                             .tokens(),
                     0);
         }
@@ -132,32 +133,34 @@
         };
     }
 
-    // Another customer, model, version or adapter sends the same bytes. No key and no salt is the same, so that no
-    // cached
-    // entry can be named, by the router or at the engine.
+    // Another customer, model, version or adapter sends the same bytes. All keys and the salt must differ, so that no
+    // cached entry can be shared, in the router or in the engine.
     @Test(dataProvider = "seeds")
-    public void theSameBytesUnderAnotherSeedShareNothing(PrefixSeed seed) {
-        PrefixChain mine = chain(SEED, "house", "dossier");
-        PrefixChain theirs = chain(seed, "house", "dossier");
-        for (int i = 0; i < mine.levels().size(); i++) {
-            assertNotEquals(mine.levels().get(i).key(), theirs.levels().get(i).key());
+    public void samePromptWithAnotherSeedSharesNoCacheEntries(PrefixSeed seed) {
+        PrefixChain chain = chain(SEED, "house", "dossier");
+        PrefixChain otherChain = chain(seed, "house", "dossier");
+        for (int i = 0; i < chain.levels().size(); i++) {
+            assertNotEquals(
+                    chain.levels().get(i).key(), otherChain.levels().get(i).key());
         }
         assertNotEquals(SEED.salt(), seed.salt());
-        send(mine);
+        send(chain);
         assertTrue(table.replicas().stream()
-                .allMatch(
-                        r -> r.cached().belief(theirs, clock.monotonicMillis()).tokens() == 0));
+                .allMatch(r -> r.cachedPrefixes()
+                                .estimate(otherChain, clock.monotonicMillis())
+                                .tokens()
+                        == 0));
     }
 
-    // A leaving, draining or ejected replica gets no new work, and the rest serves on.
+    // A leaving, draining or ejected replica must not receive new work while others are available.
     @Test
-    public void replicasThatTakeNoWorkArePassedOver() {
+    public void leavingDrainingAndEjectedReplicasAreSkipped() {
         PrefixChain chain = chain(SEED, "house", "dossier");
         String first = send(chain).replica().address();
-        table.report(first, new LoadReport("inc-" + first.substring(1), "m", "w1", 0, 0, true));
+        table.applyReport(first, new LoadReport("inc-" + first.substring(1), "m", "w1", 0, 0, true));
         String second = send(chain).replica().address();
         assertNotEquals(second, first);
-        table.listed(IntStream.range(0, 8)
+        table.setEndpoints(IntStream.range(0, 8)
                 .mapToObj(i -> endpoint(i, ("e" + i).equals(second)))
                 .toList());
         String third = send(chain).replica().address();
@@ -166,49 +169,51 @@
         assertFalse(Set.of(first, second, third).contains(send(chain).replica().address()));
     }
 
-    // One beginning becomes hot: its replicas queue up, and more of the pool takes part until the queues meet the
-    // target.
+    // Requests queue at the replicas of a frequently used shared prefix. More replicas of the pool must be used until
+    // the queues meet the target.
     @Test
-    public void aHotPrefixWidensAndNarrowsAgain() {
+    public void frequentPrefixSpreadsOverMoreReplicas() {
         for (int i = 0; i < 400; i++) {
             PrefixChain chain = chain(SEED, "house", "dossier" + i);
-            placement.choose(table, chain, TARGET, Set.of()).ifPresent(c -> table.dispatched(chain, c));
+            placement.choose(table, chain, TARGET, Set.of()).ifPresent(c -> table.recordDispatch(chain, c));
             clock.advance(5);
         }
-        long used = table.replicas().stream().filter(r -> r.streams() > 0).count();
-        assertTrue(used >= 6, used + " replicas used");
+        long usedReplicas =
+                table.replicas().stream().filter(r -> r.streams() > 0).count();
+        assertTrue(usedReplicas >= 6, usedReplicas + " replicas used");
     }
 
     @Test
-    public void aBeginningsWidthFollowsItsRateAndDoesNotSwing() {
-        PrefixWidths widths = new PrefixWidths();
+    public void replicaCountFollowsRequestRateWithoutOscillating() {
+        PrefixReplicaCounts replicaCounts = new PrefixReplicaCounts();
         long now = 0;
         int changes = 0;
-        int last = widths.width(1, 8, 1_000, now);
+        int last = replicaCounts.replicaCount(1, 8, 1_000, now);
         for (int i = 0; i < 4_000; i++) {
             now += i < 2_000 ? 10 : 15_000;
-            widths.used(1, now);
-            int width = widths.width(1, 8, 1_000, now);
-            changes += width == last ? 0 : 1;
-            last = width;
+            replicaCounts.recordUse(1, now);
+            int count = replicaCounts.replicaCount(1, 8, 1_000, now);
+            changes += count == last ? 0 : 1;
+            last = count;
             if (i == 1_999) {
-                assertTrue(width >= 1_000, "hot: " + width);
+                assertTrue(count >= 1_000, "replica count at a high rate: " + count);
             }
         }
         assertEquals(last, 8);
         assertTrue(changes < 20, changes + " changes");
     }
 
-    // Replicas in a row queue up for one hot dossier: it comes to stand on a third and a fourth.
+    // Requests queue at the preferred replicas of a frequently used dossier. It must also be placed on a third and a
+    // fourth replica.
     @Test
-    public void aHotDossierSpillsWhenItsOwnReplicasQueue() {
+    public void frequentDossierSpillsWhenItsPreferredReplicasQueue() {
         PrefixChain chain = chain(SEED, "house", "dossier");
         Map<String, Integer> counts = new HashMap<>();
         for (int i = 0; i < 60; i++) {
             PlacementChoice choice =
                     placement.choose(table, chain, TARGET, Set.of()).orElseThrow();
-            table.dispatched(chain, choice);
-            table.report(
+            table.recordDispatch(chain, choice);
+            table.applyReport(
                     choice.replica().address(),
                     report("inc-" + choice.replica().address().substring(1), "w1", 40_000));
             counts.merge(choice.replica().address(), 1, Integer::sum);
@@ -216,21 +221,20 @@
         assertTrue(counts.size() > 2, counts.toString());
     }
 
-    // All routers see the same report of one idle replica. Each counts its own dispatches on top, and the prefix
-    // decides
-    // first, so that they do not all run there.
+    // All routers receive the same reports, with one idle replica. They must not all choose it: the prefix takes
+    // precedence over the load, and each router adds its own dispatches to the reported load.
     @Test
-    public void routersDoNotHerdOnTheIdlestReplica() {
+    public void routersDoNotAllChooseTheIdleReplica() {
         Map<String, Integer> counts = new HashMap<>();
         for (int r = 0; r < 8; r++) {
-            ReplicaTable seen = fleet(8);
-            IntStream.range(1, 8).forEach(i -> seen.report("e" + i, report("inc-" + i, "w1", 2_000)));
+            ReplicaTable replicas = replicaTable(8);
+            IntStream.range(1, 8).forEach(i -> replicas.applyReport("e" + i, report("inc-" + i, "w1", 2_000)));
             PrefixPlacement policy = new PrefixPlacement();
             for (int i = 0; i < 8; i++) {
                 PrefixChain chain = chain(SEED, "house" + i, "dossier" + r + "-" + i);
                 PlacementChoice choice =
-                        policy.choose(seen, chain, TARGET, Set.of()).orElseThrow();
-                seen.dispatched(chain, choice);
+                        policy.choose(replicas, chain, TARGET, Set.of()).orElseThrow();
+                replicas.recordDispatch(chain, choice);
                 counts.merge(choice.replica().address(), 1, Integer::sum);
             }
         }
@@ -238,9 +242,9 @@
     }
 
     @Test
-    public void aReturningReplicaTakesAGrowingShare() {
+    public void restartedReplicaAcceptsGrowingShareWhileWarmingUp() {
         Replica replica = table.find("e1").orElseThrow();
-        table.report("e1", report("inc-again", "w1", 0));
+        table.applyReport("e1", report("inc-again", "w1", 0));
         long early = IntStream.range(0, 1_000)
                 .filter(k -> replica.isWarmFor(clock.monotonicMillis(), ReplicaRing.mix(k, 1)))
                 .count();
@@ -251,11 +255,13 @@
         assertTrue(early > 100 && early < 300 && later > 450 && later < 750, early + " then " + later);
     }
 
-    // A roll-out has loaded two replicas, which are cold, and the other two load now. Any prompt is still served.
+    // During a roll-out two replicas have just loaded new weights and are cold, and the other six are draining. Any
+    // prompt must still be placed.
     @Test
-    public void coldReplicasServeAnyPromptWhenNoWarmOneTakesWork() {
-        IntStream.range(0, 2).forEach(i -> table.report("e" + i, report("again-" + i, "w2", 0)));
-        IntStream.range(2, 8).forEach(i -> table.report("e" + i, new LoadReport("inc-" + i, "m", "w1", 0, 0, true)));
+    public void coldReplicasAcceptAnyPromptWhenNoWarmReplicaIsAvailable() {
+        IntStream.range(0, 2).forEach(i -> table.applyReport("e" + i, report("again-" + i, "w2", 0)));
+        IntStream.range(2, 8)
+                .forEach(i -> table.applyReport("e" + i, new LoadReport("inc-" + i, "m", "w1", 0, 0, true)));
         for (int i = 0; i < 100; i++) {
             assertTrue(placement
                     .choose(table, chain(SEED, "house", "d" + i), TARGET, Set.of())
@@ -264,7 +270,7 @@
     }
 
     @Test
-    public void aLostReplicaMovesOnlyItsOwnKeys() {
+    public void removingReplicaMovesOnlyItsKeys() {
         ReplicaRing before =
                 ReplicaRing.of(IntStream.range(0, 10).mapToObj(i -> "e" + i).toList());
         ReplicaRing after =
--- a/core/src/test/java/org/hornbeamhead/core/placement/ReplicaSubsetTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/placement/ReplicaSubsetTest.java
@@ -23,10 +23,11 @@
     }
 
     @Test(dataProvider = "sizes")
-    public void aRouterUsesNoMoreThanItNeeds(int size, int dataCentres, int used) {
-        List<Endpoint> chosen = ReplicaSubset.choose(pool(size, dataCentres), "dc-1");
-        assertEquals(chosen.size(), used);
-        long near = chosen.stream().filter(e -> e.dataCentre().equals("dc-1")).count();
-        assertTrue(near == used || near == size / dataCentres || near == size / dataCentres + 1);
+    public void selectedSubsetHasExpectedSize(int size, int dataCentres, int expectedSize) {
+        List<Endpoint> selected = ReplicaSubset.select(pool(size, dataCentres), "dc-1");
+        assertEquals(selected.size(), expectedSize);
+        long local =
+                selected.stream().filter(e -> e.dataCentre().equals("dc-1")).count();
+        assertTrue(local == expectedSize || local == size / dataCentres || local == size / dataCentres + 1);
     }
 }
--- a/core/src/test/java/org/hornbeamhead/core/store/FakeStore.java
+++ b/core/src/test/java/org/hornbeamhead/core/store/FakeStore.java
@@ -11,17 +11,17 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionStage;
 
-/** A key-value service in memory whose next answers can be told to go wrong. */
+/** An in-memory key-value service for tests, with injectable faults. */
 public final class FakeStore implements KeyValueStore {
-    /** What may go wrong with one write. */
+    /** The fault injected into one write. */
     public enum Fault {
-        /** It takes effect and is answered. */
+        /** The write takes effect and is answered. */
         NONE,
-        /** It has no effect and is refused. */
+        /** The write has no effect and is refused. */
         REFUSED,
-        /** It takes effect and the answer is lost. */
+        /** The write takes effect, but the reply is lost. */
         LOST_ANSWER,
-        /** It has no effect and the answer is lost. */
+        /** The request is lost, so that the write has no effect and is not answered. */
         LOST_REQUEST
     }
 
@@ -29,56 +29,56 @@
     private final Map<String, Set<String>> leases = new HashMap<>();
     private final Deque<Fault> writeFaults = new ArrayDeque<>();
     private long nextVersion = 1;
-    private final Deque<Runnable> heldAnswers = new ArrayDeque<>();
+    private final Deque<Runnable> heldReplies = new ArrayDeque<>();
     private boolean outage;
-    private boolean holding;
+    private boolean holdingReplies;
     private int writes;
     private int reads;
 
     /** Queues faults, one for each of the next writes. */
-    public void failWrites(Fault... faults) {
+    public void failNextWrites(Fault... faults) {
         for (Fault fault : faults) {
             writeFaults.add(fault);
         }
     }
 
-    /** Begins or ends an outage, during which every call is refused. */
-    public void outage(boolean begun) {
-        outage = begun;
+    /** Starts or ends an outage, during which every call except a revocation fails. */
+    public void setOutage(boolean active) {
+        outage = active;
     }
 
-    /** Lets grants and renewals take effect from now on without being answered. */
-    public void holdLeaseAnswers() {
-        holding = true;
+    /** Holds back the replies to subsequent grants and renewals, which still take effect. */
+    public void holdLeaseReplies() {
+        holdingReplies = true;
     }
 
-    /** Gives the answers that were held, oldest first, and holds no more. */
-    public void answerHeld() {
-        holding = false;
-        while (!heldAnswers.isEmpty()) {
-            heldAnswers.poll().run();
+    /** Sends the replies that were held back, oldest first, and stops holding replies. */
+    public void releaseHeldReplies() {
+        holdingReplies = false;
+        while (!heldReplies.isEmpty()) {
+            heldReplies.poll().run();
         }
     }
 
-    /** Lets a lease lapse, as if it had not been renewed. */
-    public void lapse(String lease) {
+    /** Expires a lease, as if it had not been renewed. */
+    public void expireLease(String lease) {
         Set<String> keys = leases.remove(lease);
         if (keys != null) {
             keys.forEach(entries::remove);
         }
     }
 
-    /** Counts the writes that reached the service. */
+    /** Returns the number of writes requested. */
     public int writes() {
         return writes;
     }
 
-    /** Counts the reads that reached the service. */
+    /** Returns the number of reads requested. */
     public int reads() {
         return reads;
     }
 
-    /** Gives a key's value, for assertions. */
+    /** Returns the value of a key, for assertions. */
     public Optional<String> value(String key) {
         return Optional.ofNullable(entries.get(key)).map(StoreEntry::value);
     }
@@ -87,10 +87,10 @@
     public CompletionStage<StoreReply> read(String key) {
         reads++;
         if (outage) {
-            return done(new StoreReply.Failed("outage"));
+            return completed(new StoreReply.Failed("outage"));
         }
         StoreEntry entry = entries.get(key);
-        return done(entry == null ? new StoreReply.Missing() : new StoreReply.Found(entry));
+        return completed(entry == null ? new StoreReply.Missing() : new StoreReply.Found(entry));
     }
 
     @Override
@@ -99,13 +99,13 @@
         writes++;
         Fault fault = writeFaults.isEmpty() ? Fault.NONE : writeFaults.poll();
         if (outage || fault == Fault.REFUSED) {
-            return done(new StoreReply.Failed("refused"));
+            return completed(new StoreReply.Failed("refused"));
         }
         if (fault == Fault.LOST_REQUEST) {
-            return done(new StoreReply.InDoubt("lost"));
+            return completed(new StoreReply.InDoubt("lost"));
         }
         StoreReply reply = swap(key, expectedVersion, value, lease);
-        return done(fault == Fault.LOST_ANSWER ? new StoreReply.InDoubt("lost") : reply);
+        return completed(fault == Fault.LOST_ANSWER ? new StoreReply.InDoubt("lost") : reply);
     }
 
     private StoreReply swap(String key, long expectedVersion, String value, Optional<String> lease) {
@@ -124,25 +124,25 @@
     @Override
     public CompletionStage<StoreReply> grant(Duration ttl) {
         if (outage) {
-            return done(new StoreReply.Failed("outage"));
+            return completed(new StoreReply.Failed("outage"));
         }
         String id = "lease-" + nextVersion++;
         leases.put(id, new HashSet<>());
-        return held(new StoreReply.Leased(id));
+        return replyOrHold(new StoreReply.Leased(id));
     }
 
     @Override
     public CompletionStage<StoreReply> renew(String lease) {
         if (outage) {
-            return done(new StoreReply.InDoubt("outage"));
+            return completed(new StoreReply.InDoubt("outage"));
         }
-        return held(leases.containsKey(lease) ? new StoreReply.Leased(lease) : new StoreReply.Missing());
+        return replyOrHold(leases.containsKey(lease) ? new StoreReply.Leased(lease) : new StoreReply.Missing());
     }
 
     @Override
     public CompletionStage<StoreReply> revoke(String lease) {
-        lapse(lease);
-        return done(new StoreReply.Leased(lease));
+        expireLease(lease);
+        return completed(new StoreReply.Leased(lease));
     }
 
     @Override
@@ -150,16 +150,16 @@
         return read(key);
     }
 
-    private CompletionStage<StoreReply> held(StoreReply reply) {
-        if (!holding) {
-            return done(reply);
+    private CompletionStage<StoreReply> replyOrHold(StoreReply reply) {
+        if (!holdingReplies) {
+            return completed(reply);
         }
         CompletableFuture<StoreReply> later = new CompletableFuture<>();
-        heldAnswers.add(() -> later.complete(reply));
+        heldReplies.add(() -> later.complete(reply));
         return later;
     }
 
-    private static CompletionStage<StoreReply> done(StoreReply reply) {
+    private static CompletionStage<StoreReply> completed(StoreReply reply) {
         return CompletableFuture.completedFuture(reply);
     }
 }
--- a/examples/src/main/java/org/hornbeamhead/examples/EmbeddedRouters.java
+++ b/examples/src/main/java/org/hornbeamhead/examples/EmbeddedRouters.java
@@ -14,7 +14,7 @@
 import org.hornbeamhead.core.claim.Claim;
 import org.hornbeamhead.core.claim.ClaimBatcher;
 import org.hornbeamhead.core.claim.ClaimIds;
-import org.hornbeamhead.core.claim.ClaimLimits;
+import org.hornbeamhead.core.claim.ClaimStoreConfig;
 import org.hornbeamhead.core.endpoint.Endpoint;
 import org.hornbeamhead.core.endpoint.EndpointKind;
 import org.hornbeamhead.core.endpoint.LoadReport;
@@ -63,11 +63,11 @@
      */
     public String place() {
         ReplicaTable table = new ReplicaTable(clock);
-        table.listed(IntStream.range(0, 4)
+        table.setEndpoints(IntStream.range(0, 4)
                 .mapToObj(i -> new Endpoint(EndpointKind.ENGINE, "pool", "10.0.0." + i + ":80", "", "dc", false))
                 .toList());
         table.replicas()
-                .forEach(r -> table.report(r.address(), new LoadReport("first start", "model", "w1", 0, 0, false)));
+                .forEach(r -> table.applyReport(r.address(), new LoadReport("first start", "model", "w1", 0, 0, false)));
         PrefixSeed seed = new PrefixSeed("auction house", "model", "w1", "");
         PrefixChain chain = PrefixHasher.chat(seed, List.of("house rules", "a long dossier", "who painted it?"));
         PlacementChoice choice =
@@ -84,7 +84,7 @@
         KeyValueStore store = new MapStore();
         UUID bid = ClaimIds.next(clock.wallMillis(), random);
         List<CompletableFuture<String>> results = IntStream.range(0, 2)
-                .mapToObj(i -> new ClaimBatcher(store, clock, timers, ClaimLimits.STANDARD)
+                .mapToObj(i -> new ClaimBatcher(store, clock, timers, ClaimStoreConfig.STANDARD)
                         .claim(new Claim(bid, random.nextLong()))
                         .thenApply(Enum::name)
                         .toCompletableFuture())
--- a/router/src/main/java/org/hornbeamhead/router/ClaimAgent.java
+++ b/router/src/main/java/org/hornbeamhead/router/ClaimAgent.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.CompletionStage;
 import org.hornbeamhead.core.claim.Claim;
 import org.hornbeamhead.core.claim.ClaimBatcher;
-import org.hornbeamhead.core.claim.ClaimLimits;
+import org.hornbeamhead.core.claim.ClaimStoreConfig;
 import org.hornbeamhead.core.claim.ClaimResult;
 import org.hornbeamhead.core.placement.ReplicaRing;
 import org.hornbeamhead.peer.PeerClient;
@@ -34,12 +34,12 @@
 
     /** Takes over the routers that serve. */
     void serving(Collection<String> peerAddresses) {
-        ring = ring.with(peerAddresses);
+        ring = ring.withReplicas(peerAddresses);
     }
 
     CompletionStage<ClaimResult> claim(UUID id) {
         Claim claim = new Claim(id, random.nextLong());
-        String owner = ring.walk(ClaimLimits.STANDARD.partition(claim), 1).stream()
+        String owner = ring.walk(ClaimStoreConfig.STANDARD.partitionOf(claim), 1).stream()
                 .findFirst()
                 .orElse(self);
         if (owner.equals(self)) {
--- a/router/src/main/java/org/hornbeamhead/router/EngineExchange.java
+++ b/router/src/main/java/org/hornbeamhead/router/EngineExchange.java
@@ -77,7 +77,7 @@
         attemptTokens = 0;
         choice = chosen;
         dispatchedMillis = context.clock().monotonicMillis();
-        pool.table().dispatched(request.chain(), chosen);
+        pool.table().recordDispatch(request.chain(), chosen);
         String address = chosen.replica().address();
         log("dispatched", chosen.reason().name());
         attempt = new EngineAttempt(context.connections(), address, internalId + "." + attempts);
@@ -102,7 +102,7 @@
             ended = true;
             context.quarantine().completed(request::fingerprint);
             if (!accounted) {
-                pool.table().ended(choice, NO_COUNT);
+                pool.table().recordCompletion(choice, NO_COUNT);
             }
             return Promise.of(null);
         }
@@ -119,7 +119,7 @@
     private void countToken(EngineEvent event) {
         if (attemptTokens == 0) {
             double elapsed = context.clock().monotonicMillis() - dispatchedMillis;
-            pool.table().firstToken(choice, elapsed);
+            pool.table().recordFirstToken(choice, elapsed);
         }
         if (givenTokens == 0) {
             firstTokenMetrics();
@@ -152,7 +152,7 @@
         ObjectNode usage = (ObjectNode) json.get("usage");
         int prompt = usage.path("prompt_tokens").asInt();
         int cached = usage.path("prompt_tokens_details").path("cached_tokens").asInt();
-        pool.table().ended(choice, cached);
+        pool.table().recordCompletion(choice, cached);
         accounted = true;
         pool.retries().succeeded();
         String customer = request.customer().name();
@@ -188,7 +188,7 @@
 
     private Promise<Void> elsewhere(AttemptException failed) {
         blame(failed.failure());
-        pool.table().abandoned(choice, attemptTokens > 0);
+        pool.table().recordAbandoned(choice, attemptTokens > 0);
         if (failed.failure() == AttemptFailure.REJECTED) {
             context.quarantine().completed(request::fingerprint);
             return Promise.ofException(failed);
@@ -229,7 +229,7 @@
             ended = true;
             attempt.cancel();
             if (!accounted) {
-                pool.table().abandoned(choice, attemptTokens > 0);
+                pool.table().recordAbandoned(choice, attemptTokens > 0);
             }
         }
     }
--- a/router/src/main/java/org/hornbeamhead/router/PoolDirectory.java
+++ b/router/src/main/java/org/hornbeamhead/router/PoolDirectory.java
@@ -42,14 +42,14 @@
     private EnginePool open() {
         EnginePool pool = new EnginePool(
                 context.clock(), context.random(), context.settings().batchQueue());
-        pool.placement().routers(routers);
+        pool.placement().setRouterCount(routers);
         return pool;
     }
 
     /** Notes how many routers serve, which see about the same share of the load each. */
     void routers(int serving) {
         routers = serving;
-        engines.values().forEach(p -> p.placement().routers(serving));
+        engines.values().forEach(p -> p.placement().setRouterCount(serving));
     }
 
     ServicePool service(String name) {
@@ -67,7 +67,7 @@
     private void configured(OperatorsConfig config) {
         config.pools().values().stream()
                 .filter(Pool::isEngine)
-                .forEach(p -> engines(p).table().model(p.model()));
+                .forEach(p -> engines(p).table().setModel(p.model()));
         listed(hosts);
     }
 
@@ -78,7 +78,7 @@
             if (pool.isEngine()) {
                 engines(pool)
                         .table()
-                        .listed(ReplicaSubset.choose(
+                        .setEndpoints(ReplicaSubset.select(
                                 of(EndpointKind.ENGINE, pool.name()),
                                 context.settings().dataCentre()));
             } else {
@@ -109,7 +109,7 @@
         }
         List<Poll> now = toPoll.subList(0, Math.min(POLLS_AT_ONCE, toPoll.size()));
         now.forEach(p ->
-                control.load(p.address()).whenResult((LoadReport r) -> p.table().report(p.address(), r)));
+                control.load(p.address()).whenResult((LoadReport r) -> p.table().applyReport(p.address(), r)));
         now.clear();
     }
 }
--- a/router/src/main/java/org/hornbeamhead/router/Router.java
+++ b/router/src/main/java/org/hornbeamhead/router/Router.java
@@ -22,7 +22,7 @@
 import org.hornbeamhead.clients.HttpKeyValueStore;
 import org.hornbeamhead.core.claim.Claim;
 import org.hornbeamhead.core.claim.ClaimBatcher;
-import org.hornbeamhead.core.claim.ClaimLimits;
+import org.hornbeamhead.core.claim.ClaimStoreConfig;
 import org.hornbeamhead.core.claim.ClaimResult;
 import org.hornbeamhead.core.config.ConfigHolder;
 import org.hornbeamhead.core.config.ConfigRecord;
@@ -37,7 +37,7 @@
 import org.hornbeamhead.core.membership.Member;
 import org.hornbeamhead.core.membership.MemberStatus;
 import org.hornbeamhead.core.settings.Addresses;
-import org.hornbeamhead.core.ticket.TicketOffice;
+import org.hornbeamhead.core.ticket.TicketRegistry;
 import org.hornbeamhead.daemon.Daemon;
 import org.hornbeamhead.daemon.HttpAnswers;
 import org.hornbeamhead.daemon.HttpCaller;
@@ -69,7 +69,7 @@
     private final HostListClient hostList;
     private final HttpServer server;
     private final GossipNode gossip;
-    private final TicketOffice tickets;
+    private final TicketRegistry tickets;
     private final ClaimAgent claims;
     private final ConfigAgent configAgent;
     private final Quarantine quarantine;
@@ -120,8 +120,8 @@
                 GossipLimits.STANDARD,
                 peerNode::send,
                 new Listener());
-        this.tickets = new TicketOffice(address, daemon.clock(), new SecureRandom(), TICKET_TTL_MILLIS);
-        ClaimBatcher batcher = new ClaimBatcher(store, daemon.clock(), daemon.timers(), ClaimLimits.STANDARD);
+        this.tickets = new TicketRegistry(address, daemon.clock(), new SecureRandom(), TICKET_TTL_MILLIS);
+        ClaimBatcher batcher = new ClaimBatcher(store, daemon.clock(), daemon.timers(), ClaimStoreConfig.STANDARD);
         this.claims = new ClaimAgent(batcher, peers, self.peerAddress());
         this.configAgent = new ConfigAgent(config, store, peers, daemon.timers(), self.peerAddress(), gossip::members);
         this.routes =
--- a/router/src/main/java/org/hornbeamhead/router/ServicePipeline.java
+++ b/router/src/main/java/org/hornbeamhead/router/ServicePipeline.java
@@ -24,7 +24,7 @@
 import org.hornbeamhead.core.outcome.Reason;
 import org.hornbeamhead.core.settings.Finding;
 import org.hornbeamhead.core.ticket.Ticket;
-import org.hornbeamhead.core.ticket.TicketOffice;
+import org.hornbeamhead.core.ticket.TicketRegistry;
 import org.hornbeamhead.daemon.HttpCaller;
 import org.hornbeamhead.daemon.Logs;
 
@@ -50,14 +50,14 @@
     private final PoolDirectory pools;
     private final RunningRequests running;
     private final ClaimAgent claims;
-    private final TicketOffice tickets;
+    private final TicketRegistry tickets;
 
     ServicePipeline(
             RouterContext context,
             PoolDirectory pools,
             RunningRequests running,
             ClaimAgent claims,
-            TicketOffice tickets) {
+            TicketRegistry tickets) {
         this.context = context;
         this.pools = pools;
         this.running = running;
@@ -125,7 +125,7 @@
 
     private static Optional<UUID> readId(String key) {
         try {
-            return Optional.of(UUID.fromString(key)).filter(Claim::hasTime);
+            return Optional.of(UUID.fromString(key)).filter(Claim::hasIssueTime);
         } catch (IllegalArgumentException e) {
             return Optional.empty();
         }
