--- a/core/src/main/java/org/hornbeamhead/core/admission/AdmissionControl.java
+++ b/core/src/main/java/org/hornbeamhead/core/admission/AdmissionControl.java
@@ -55,7 +55,7 @@
         if (wait > limit * FAIR_SHARE_WAIT_RATIO && shares.isOverShare(customer, nowMillis)) {
             return refuse(Reason.OVER_SHARE, wait);
         }
-        shares.recordUsage(customer, choice.missedTokens() + 1.0, nowMillis);
+        shares.recordUsage(customer, choice.uncachedTokens() + 1.0, nowMillis);
         return new AdmissionDecision.Admit();
     }
 
