--- a/gateway/src/main/java/org/hornbeamhead/gateway/RouterProcess.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/RouterProcess.java
@@ -10,8 +10,8 @@
 import java.io.IOException;
 import java.util.List;
 import java.util.Random;
-import org.hornbeamhead.core.crash.CrashHistoryPersister;
 import org.hornbeamhead.core.crash.CrashGossip;
+import org.hornbeamhead.core.crash.CrashHistoryPersister;
 import org.hornbeamhead.core.entry.ActiveRouters;
 import org.hornbeamhead.core.http.WholeRequest;
 import org.hornbeamhead.core.mirror.StoreItem;
@@ -147,7 +147,13 @@
                 workingRouters,
                 quarantine));
         workHints = new WorkHints(
-                reactor, clock, registry, routers::hintAddresses, workingRouters, datagrams, dispatcher::recordPeerSend);
+                reactor,
+                clock,
+                registry,
+                routers::hintAddresses,
+                workingRouters,
+                datagrams,
+                dispatcher::recordPeerSend);
         dispatcher.setWorkHints(workHints);
         callerFront = new CallerServer(reactor, this::handle, this::callerLimits, metrics);
         shutdown = new Shutdown(daemon, callerFront, presence, leaderTasks, settings.grace());
@@ -272,7 +278,8 @@
             case WEIGHTS -> documents
                     .parseWeights(item)
                     .peekLeft(reason -> logUnreadable(item, reason))
-                    .forEach(target -> weightsListener.versionPublished(target.model(), target.version(), item.revision()));
+                    .forEach(target ->
+                            weightsListener.versionPublished(target.model(), target.version(), item.revision()));
             case REPLICA -> {
                 return applyReplicaChange(item);
             }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/AttemptRequest.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/AttemptRequest.java
@@ -44,7 +44,8 @@
         Optional<Prompt> prompt = exchange.serviceRequest().callerRequest().prompt();
         int memoryTokens = prompt.map(Prompt::memoryTokens).orElse(0);
         boolean longResponse = prompt.map(Prompt::hasLongAnswer).orElse(false);
-        double readMillis = target.engineChoice().map(EngineChoice::prefillMillis).orElse(0.0);
+        double readMillis =
+                target.engineChoice().map(EngineChoice::prefillMillis).orElse(0.0);
         replica.load().recordSent(id(), readMillis, memoryTokens, longResponse, now());
         target.engineChoice().ifPresent(c -> exchange.dispatcher().recordEngineSend(replica, c));
     }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Exchange.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Exchange.java
@@ -99,7 +99,10 @@
                                 tried);
         if (target.isEmpty()) {
             sendFinalAnswer(
-                    forwarding.responseAtDeadline(false), "no replica can take it", Optional.empty(), RETRY_AFTER_MILLIS);
+                    forwarding.responseAtDeadline(false),
+                    "no replica can take it",
+                    Optional.empty(),
+                    RETRY_AFTER_MILLIS);
             return;
         }
         OptionalLong retryMillis = tried.isEmpty() ? admissionRetryMillis(target.get()) : OptionalLong.empty();
@@ -336,8 +339,8 @@
         String tokens = serviceRequest
                 .callerRequest()
                 .prompt()
-                .map(p ->
-                        " tokens=" + p.sharedTokens() + "+" + (p.tokens() - p.sharedTokens()) + ">" + p.maxOutputTokens())
+                .map(p -> " tokens=" + p.sharedTokens() + "+" + (p.tokens() - p.sharedTokens()) + ">"
+                        + p.maxOutputTokens())
                 .orElse("");
         return "route=" + serviceRequest.route().name() + tokens + timings + " millis="
                 + elapsed().toMillis() + " tried=" + tried;
--- a/router/src/main/java/org/hornbeamhead/router/ClaimAgent.java
+++ b/router/src/main/java/org/hornbeamhead/router/ClaimAgent.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.CompletionStage;
 import org.hornbeamhead.core.claim.Claim;
 import org.hornbeamhead.core.claim.ClaimBatcher;
-import org.hornbeamhead.core.claim.ClaimStoreConfig;
 import org.hornbeamhead.core.claim.ClaimResult;
+import org.hornbeamhead.core.claim.ClaimStoreConfig;
 import org.hornbeamhead.core.placement.ReplicaRing;
 import org.hornbeamhead.peer.PeerClient;
 
--- a/router/src/main/java/org/hornbeamhead/router/ServicePipeline.java
+++ b/router/src/main/java/org/hornbeamhead/router/ServicePipeline.java
@@ -209,7 +209,8 @@
         if (e instanceof ConnectException) {
             return next(call, pool, tries.unsent(address));
         }
-        LostAttempt run = new LostAttempt(call.fingerprint(), sentAt, context.clock().monotonicMillis());
+        LostAttempt run =
+                new LostAttempt(call.fingerprint(), sentAt, context.clock().monotonicMillis());
         return context.connections().refused(address).then(ended -> {
             if (ended) {
                 context.quarantine().crashed(run, address);
