--- a/controller/src/main/java/org/hornbeamhead/controller/ControllerSettings.java
+++ b/controller/src/main/java/org/hornbeamhead/controller/ControllerSettings.java
@@ -54,7 +54,7 @@
                     .add(new Finding(
                             input.source(), 0, "limits", "lease", "must be at least three times as long as step"));
         }
-        List.of(listen, site, platform, limits).forEach(SectionReader::finish);
+        List.of(listen, site, platform, limits).forEach(SectionReader::reportUnknownKeys);
         return in.findings().toValidation(() -> settings);
     }
 }
--- a/controller/src/main/java/org/hornbeamhead/controller/PoolController.java
+++ b/controller/src/main/java/org/hornbeamhead/controller/PoolController.java
@@ -83,7 +83,7 @@
                 .count();
         slots.want(pool, (int) outdated);
         List<String> loading = List.copyOf(loadingSinceMillis.keySet());
-        Optional<DrainOrders> known = lease.held().flatMap(drains::under);
+        Optional<DrainOrders> known = lease.held().flatMap(drains::ordersUnder);
         PoolPlan.decide(wanted, known, seen, slots.held(pool), loading).forEach(this::give);
     }
 
--- a/core/src/main/java/org/hornbeamhead/core/config/AppendResult.java
+++ b/core/src/main/java/org/hornbeamhead/core/config/AppendResult.java
@@ -2,35 +2,35 @@
 
 import java.util.List;
 
-/** What came of an operator's change. */
+/** The result of appending an operator's change to the configuration log. */
 public sealed interface AppendResult {
     /**
-     * It is accepted.
+     * The change was appended.
      *
-     * @param state the configuration with the change
+     * @param state the configuration including the change
      */
     record Accepted(ConfigState state) implements AppendResult {}
 
     /**
-     * Others changed the configuration meanwhile; this change was not made.
+     * The change was not applied because other changes were appended after its base version.
      *
-     * @param state the present configuration
-     * @param others the entries that came in between
+     * @param state the current configuration
+     * @param interveningRecords the entries appended after the base version
      */
-    record Overtaken(ConfigState state, List<ConfigRecord> others) implements AppendResult {}
+    record Conflict(ConfigState state, List<ConfigRecord> interveningRecords) implements AppendResult {}
 
     /**
-     * The change was surely not made.
+     * The change was definitely not applied.
      *
-     * @param why for the operator
+     * @param cause the cause, as shown to the operator
      */
-    record NotMade(String why) implements AppendResult {}
+    record NotApplied(String cause) implements AppendResult {}
 
     /**
-     * It could not be learned whether the change was made; the history will show the change's id, or not.
+     * It is unknown whether the change was applied. If it was, its id appears in the history.
      *
-     * @param changeId the change's id
-     * @param why for the operator
+     * @param changeId the id of the change
+     * @param cause the cause, as shown to the operator
      */
-    record InDoubt(String changeId, String why) implements AppendResult {}
+    record InDoubt(String changeId, String cause) implements AppendResult {}
 }
--- a/core/src/main/java/org/hornbeamhead/core/config/ConfigDocument.java
+++ b/core/src/main/java/org/hornbeamhead/core/config/ConfigDocument.java
@@ -7,10 +7,11 @@
 import java.util.Optional;
 
 /**
- * An operators' INI text, cut into its sections so that a change can be told by the sections that differ. Immutable.
+ * The operators' INI text, split into sections so that a change can be expressed as the sections that differ.
+ * Immutable.
  *
- * <p>At 13,000 changes a day a fleet cannot pass the whole text around for each; a change of one customer is some
- * hundred bytes.
+ * <p>A fleet with 13,000 changes a day cannot distribute the whole text for each one; a change to one customer takes a
+ * few hundred bytes.
  */
 public final class ConfigDocument {
     private final Map<String, String> sections;
@@ -20,7 +21,7 @@
     }
 
     /**
-     * Cuts a text. A section runs from its header to the next.
+     * Splits a text into sections. A section extends from its header to the next header.
      *
      * @param text the INI text
      * @return the document
@@ -42,7 +43,7 @@
     }
 
     /**
-     * Joins the sections.
+     * Returns the sections joined into one text.
      *
      * @return the INI text
      */
@@ -51,10 +52,10 @@
     }
 
     /**
-     * Tells which sections differ.
+     * Computes the section changes that turn this document into a later one.
      *
      * @param later the later document
-     * @return the changes that lead to it, if applying them gives exactly its text
+     * @return the changes; empty if applying them would not reproduce the later text exactly
      */
     public Optional<List<SectionChange>> changesTo(ConfigDocument later) {
         List<SectionChange> changes = new ArrayList<>();
@@ -70,7 +71,7 @@
     }
 
     /**
-     * Applies changes. Changed sections keep their place, new ones go to the end.
+     * Applies section changes. Changed sections keep their position; new sections are appended.
      *
      * @param changes the changes
      * @return the changed document
--- a/core/src/main/java/org/hornbeamhead/core/config/ConfigHolder.java
+++ b/core/src/main/java/org/hornbeamhead/core/config/ConfigHolder.java
@@ -7,11 +7,11 @@
 import org.hornbeamhead.core.settings.Finding;
 
 /**
- * The configuration in force in one process. It only ever moves to a higher version.
+ * The active configuration of a process. Its version never decreases.
  *
- * <p>Failure: a stale answer of the platform's service, or a peer back from a long pause, hands out an older version.
- * Symptom: an accepted change reverts on some hosts. Versions are given out once and in order, so that to refuse the
- * lower one is enough.
+ * <p>A stale reply of the platform's service, or a peer that resumes after a long pause, can supply an older version,
+ * which would revert an accepted change on some hosts. Each version is assigned once and in order, so rejecting lower
+ * versions is sufficient.
  */
 public final class ConfigHolder {
     private final List<Consumer<OperatorsConfig>> listeners = new ArrayList<>();
@@ -19,19 +19,19 @@
     private OperatorsConfig config = OperatorsConfig.EMPTY;
 
     /**
-     * Registers who wants to know of new configurations.
+     * Registers a listener for new configurations.
      *
-     * @param listener called with each one, in order of their versions
+     * @param listener called with each new configuration, in version order
      */
     public void onChange(Consumer<OperatorsConfig> listener) {
         listeners.add(listener);
     }
 
     /**
-     * Offers a state.
+     * Activates a state if it is newer than the active one.
      *
      * @param offered the state
-     * @return true when it was newer and is now in force
+     * @return true if the state was newer and is now active
      */
     public boolean offer(ConfigState offered) {
         if (offered.version() <= state.version()) {
@@ -40,8 +40,8 @@
         Validation<List<Finding>, OperatorsConfig> read = OperatorsConfigReader.read(
                 "version " + offered.version(), offered.document().text());
         state = offered;
-        // A text that this program cannot read was accepted by a newer one. The version still counts, so that it
-        // spreads.
+        // A text that this program cannot read was accepted by a newer program. The version is still adopted, so that
+        // it propagates to peers.
         read.forEach(c -> {
             config = c;
             listeners.forEach(l -> l.accept(c));
@@ -50,16 +50,17 @@
     }
 
     /**
-     * Offers entries from a peer.
+     * Applies log entries received from a peer.
      *
      * @param records the entries, oldest first
-     * @return true when they led to a newer version
+     * @return true if they led to a newer version
      */
     public boolean offer(List<ConfigRecord> records) {
         ConfigState next = state;
         for (ConfigRecord record : records) {
             boolean follows = record.version() == next.version() + 1;
-            if (record.version() > next.version() && (follows || record.full().isPresent())) {
+            if (record.version() > next.version()
+                    && (follows || record.fullText().isPresent())) {
                 next = next.with(record);
             }
         }
@@ -67,18 +68,18 @@
     }
 
     /**
-     * Returns the state in force.
+     * Returns the active state.
      *
-     * @return the state; version 0 before the first
+     * @return the state; version 0 before the first configuration
      */
     public ConfigState state() {
         return state;
     }
 
     /**
-     * Returns the configuration in force.
+     * Returns the active configuration.
      *
-     * @return the configuration; empty before the first
+     * @return the configuration; empty before the first one
      */
     public OperatorsConfig config() {
         return config;
--- a/core/src/main/java/org/hornbeamhead/core/config/ConfigLog.java
+++ b/core/src/main/java/org/hornbeamhead/core/config/ConfigLog.java
@@ -11,21 +11,22 @@
 import org.hornbeamhead.core.store.StoreReply;
 
 /**
- * The configuration's log in the platform's service. Version n+1 is a key that can be created only once, so that of two
- * racing operators exactly one wins, and no version ever changes or vanishes.
+ * The append-only configuration log in the platform's service. Each version n+1 is a key that can be created only once,
+ * so that exactly one of two concurrent operators succeeds, and no version is ever changed or removed.
  *
- * <p>The key {@code config/head} tells the newest version and the newest entry with the whole text. It is only a hint:
- * it may lag, since its writer may stop in between. Readers go on from it to the first version that does not exist.
+ * <p>The key {@code config/head} holds the newest version and the version of the newest full-text entry. It is only a
+ * hint and may lag, since its writer may stop between the two writes. Readers continue from it to the first version
+ * that does not exist.
  */
 public final class ConfigLog {
-    /** The key to watch for changes. */
+    /** The key that clients watch for changes. */
     public static final String HEAD = "config/head";
 
-    private static final int FULL_EVERY = 64;
-    private static final int TRIES = 5;
+    private static final int FULL_TEXT_INTERVAL = 64;
+    private static final int MAX_ATTEMPTS = 5;
 
-    /** Where the log stands, as far as the hint knows. */
-    private record Head(long version, long full, long storeVersion) {
+    /** The value of the head key, a possibly outdated position of the log. */
+    private record Head(long version, long fullTextVersion, long storeVersion) {
         private static final Head NONE = new Head(0, 0, KeyValueStore.ABSENT);
 
         static Either<String, Head> read(StoreEntry entry) {
@@ -41,7 +42,7 @@
     private final KeyValueStore store;
 
     /**
-     * Makes a client of the log.
+     * Creates a client of the log.
      *
      * @param store the platform's service
      */
@@ -52,49 +53,54 @@
     /**
      * Reads the newest configuration.
      *
-     * @param known a state known already, to go on from; {@link ConfigState#NONE} to read all that is needed
-     * @return the newest state, never older than the known one, or why it cannot be read
+     * @param known a known state to continue from, or {@link ConfigState#NONE}
+     * @return the newest state, never older than the known one, or the reason why it cannot be read
      */
     public CompletionStage<Either<String, ConfigState>> latest(ConfigState known) {
         return readHead()
                 .thenCompose(head -> head.fold(
-                        why -> done(Either.left(why)),
-                        h -> h.full() > known.version() + 1 ? jump(h.full()) : follow(known)));
+                        why -> completed(Either.left(why)),
+                        h -> h.fullTextVersion() > known.version() + 1
+                                ? readFromFullText(h.fullTextVersion())
+                                : readFollowing(known)));
     }
 
-    private CompletionStage<Either<String, ConfigState>> jump(long full) {
-        return readRecord(full)
+    private CompletionStage<Either<String, ConfigState>> readFromFullText(long fullTextVersion) {
+        return readRecord(fullTextVersion)
                 .thenCompose(found -> found.fold(
-                        why -> done(Either.left(why)),
+                        why -> completed(Either.left(why)),
                         record -> record.isPresent()
-                                ? follow(ConfigState.NONE.with(record.get()))
-                                : done(Either.left("entry " + full + " is missing"))));
+                                ? readFollowing(ConfigState.NONE.with(record.get()))
+                                : completed(Either.left("entry " + fullTextVersion + " is missing"))));
     }
 
-    private CompletionStage<Either<String, ConfigState>> follow(ConfigState state) {
+    private CompletionStage<Either<String, ConfigState>> readFollowing(ConfigState state) {
         return readRecord(state.version() + 1)
                 .thenCompose(found -> found.fold(
-                        why -> done(Either.left(why)),
-                        record -> record.isPresent() ? follow(state.with(record.get())) : done(Either.right(state))));
+                        why -> completed(Either.left(why)),
+                        record -> record.isPresent()
+                                ? readFollowing(state.with(record.get()))
+                                : completed(Either.right(state))));
     }
 
     /**
-     * Appends a change.
+     * Appends a change to the log.
      *
-     * @param base the state that the change was made from
-     * @param text the whole new text, already validated
-     * @param author who changes it, when, why, and under which change id; its version and body are filled in here
-     * @return what came of it
+     * @param base the state that the change is based on
+     * @param text the complete new text, already validated
+     * @param author the author, time, reason and id of the change; version and body of the entry are added here
+     * @return the result
      */
     public CompletionStage<AppendResult> append(ConfigState base, String text, ConfigAuthor author) {
         ConfigRecord record = record(base, text, author);
-        return create(base, record, TRIES, false);
+        return create(base, record, MAX_ATTEMPTS, false);
     }
 
     private static ConfigRecord record(ConfigState base, String text, ConfigAuthor author) {
         long version = base.version() + 1;
-        Optional<List<SectionChange>> changes =
-                version % FULL_EVERY == 1 ? Optional.empty() : base.document().changesTo(ConfigDocument.of(text));
+        Optional<List<SectionChange>> changes = version % FULL_TEXT_INTERVAL == 1
+                ? Optional.empty()
+                : base.document().changesTo(ConfigDocument.of(text));
         return new ConfigRecord(
                 version,
                 author.changeId(),
@@ -105,7 +111,8 @@
                 changes.orElse(List.of()));
     }
 
-    private CompletionStage<AppendResult> create(ConfigState base, ConfigRecord record, int tries, boolean doubt) {
+    private CompletionStage<AppendResult> create(
+            ConfigState base, ConfigRecord record, int attemptsLeft, boolean inDoubt) {
         return store.compareAndSwap(key(record.version()), KeyValueStore.ABSENT, record.format(), Optional.empty())
                 .thenCompose(reply -> {
                     if (reply instanceof StoreReply.Found) {
@@ -113,37 +120,38 @@
                     }
                     if (reply instanceof StoreReply.Conflict conflict
                             && conflict.current().isPresent()) {
-                        return settle(base, record, conflict.current().get());
+                        return resolveConflict(base, record, conflict.current().get());
                     }
-                    return createAgain(base, record, tries, doubt || reply instanceof StoreReply.InDoubt);
+                    return retryCreate(base, record, attemptsLeft, inDoubt || reply instanceof StoreReply.InDoubt);
                 });
     }
 
-    private CompletionStage<AppendResult> createAgain(ConfigState base, ConfigRecord record, int tries, boolean doubt) {
-        if (tries > 1) {
-            // The key can be created once and carries the change's id, so that trying again is idempotent.
-            return create(base, record, tries - 1, doubt);
+    private CompletionStage<AppendResult> retryCreate(
+            ConfigState base, ConfigRecord record, int attemptsLeft, boolean inDoubt) {
+        if (attemptsLeft > 1) {
+            // The key can be created once and carries the change's id, so that a retry is idempotent.
+            return create(base, record, attemptsLeft - 1, inDoubt);
         }
         String why = "the platform's service does not answer";
         return CompletableFuture.completedFuture(
-                doubt ? new AppendResult.InDoubt(record.changeId(), why) : new AppendResult.NotMade(why));
+                inDoubt ? new AppendResult.InDoubt(record.changeId(), why) : new AppendResult.NotApplied(why));
     }
 
-    private CompletionStage<AppendResult> settle(ConfigState base, ConfigRecord record, StoreEntry present) {
+    private CompletionStage<AppendResult> resolveConflict(ConfigState base, ConfigRecord record, StoreEntry present) {
         return ConfigRecord.read(present.value())
                 .fold(
-                        why -> CompletableFuture.completedFuture(new AppendResult.NotMade(why)),
-                        found -> settle(base, record, found));
+                        why -> CompletableFuture.completedFuture(new AppendResult.NotApplied(why)),
+                        found -> resolveConflict(base, record, found));
     }
 
-    private CompletionStage<AppendResult> settle(ConfigState base, ConfigRecord record, ConfigRecord found) {
+    private CompletionStage<AppendResult> resolveConflict(ConfigState base, ConfigRecord record, ConfigRecord found) {
         if (found.changeId().equals(record.changeId())) {
             return accepted(base, record);
         }
         return latest(base)
                 .thenApply(state -> state.fold(
-                        why -> new AppendResult.Overtaken(base.with(found), List.of(found)),
-                        s -> new AppendResult.Overtaken(s, s.since(base.version()))));
+                        why -> new AppendResult.Conflict(base.with(found), List.of(found)),
+                        s -> new AppendResult.Conflict(s, s.since(base.version()))));
     }
 
     private CompletionStage<AppendResult> accepted(ConfigState base, ConfigRecord record) {
@@ -151,15 +159,16 @@
         return advanceHead(record).thenApply(v -> new AppendResult.Accepted(state));
     }
 
-    /** Moves the hint forward. A failure here is mended by the next change; readers look past the hint anyway. */
+    /** Advances the head key. A failure is corrected by the next change, and readers look for entries beyond it. */
     private CompletionStage<Void> advanceHead(ConfigRecord record) {
         return readHead().thenCompose(read -> {
             Head head = read.getOrElse(Head.NONE);
             if (read.isLeft() || head.version() >= record.version()) {
                 return CompletableFuture.completedFuture(null);
             }
-            long full = record.full().isPresent() ? record.version() : head.full();
-            return store.compareAndSwap(HEAD, head.storeVersion(), record.version() + " " + full, Optional.empty())
+            long fullTextVersion = record.fullText().isPresent() ? record.version() : head.fullTextVersion();
+            return store.compareAndSwap(
+                            HEAD, head.storeVersion(), record.version() + " " + fullTextVersion, Optional.empty())
                     .thenApply(r -> null);
         });
     }
@@ -174,10 +183,10 @@
     }
 
     /**
-     * Reads one entry.
+     * Reads one log entry.
      *
-     * @param version its version
-     * @return the entry, empty when there is none yet, or why it cannot be read
+     * @param version the version of the entry
+     * @return the entry, empty if it does not exist yet, or the reason why it cannot be read
      */
     public CompletionStage<Either<String, Optional<ConfigRecord>>> readRecord(long version) {
         return store.read(key(version)).thenApply(reply -> {
@@ -196,7 +205,7 @@
         return "config/log/" + version;
     }
 
-    private static <T> CompletionStage<T> done(T value) {
+    private static <T> CompletionStage<T> completed(T value) {
         return CompletableFuture.completedFuture(value);
     }
 }
--- a/core/src/main/java/org/hornbeamhead/core/config/ConfigState.java
+++ b/core/src/main/java/org/hornbeamhead/core/config/ConfigState.java
@@ -5,11 +5,11 @@
 import java.util.stream.Stream;
 
 /**
- * A configuration with the entries that led to it.
+ * A version of the configuration with the recent log entries that led to it.
  *
- * @param version the version; 0 before the first
- * @param document the text
- * @param recent the newest entries, oldest first, the last of which made this version
+ * @param version the version; 0 before the first configuration
+ * @param document the text of the configuration
+ * @param recent the newest entries, oldest first; the last one created this version
  */
 public record ConfigState(long version, ConfigDocument document, List<ConfigRecord> recent) {
     private static final int RECENT_LIMIT = 64;
@@ -17,21 +17,21 @@
     /** The state before the first configuration. */
     public static final ConfigState NONE = new ConfigState(0, ConfigDocument.of(""), List.of());
 
-    /** Copies the entries, so that the state cannot change. */
+    /** Copies the entries to keep the state immutable. */
     public ConfigState {
         recent = List.copyOf(recent);
     }
 
     /**
-     * Applies the next entry.
+     * Returns the state after the next entry.
      *
-     * @param record the entry of the next version, or any later entry that holds the whole text
+     * @param record the entry of the next version, or any later entry that holds the complete text
      * @return the next state
-     * @throws IllegalArgumentException when the entry does not follow
+     * @throws IllegalArgumentException if the entry does not follow this state
      */
     public ConfigState with(ConfigRecord record) {
         boolean follows = record.version() == version + 1;
-        if (!follows && (record.full().isEmpty() || record.version() <= version)) {
+        if (!follows && (record.fullText().isEmpty() || record.version() <= version)) {
             throw new IllegalArgumentException("entry " + record.version() + " does not follow " + version);
         }
         Stream<ConfigRecord> kept = follows ? recent.stream() : Stream.empty();
@@ -43,10 +43,10 @@
     }
 
     /**
-     * Gives the entries that lead from a version to this one.
+     * Returns the entries that lead from an older version to this one.
      *
-     * @param known the version known to the asker
-     * @return the entries, or one entry with the whole text when the asker is too far behind
+     * @param known the version that the requester has
+     * @return the entries, or one entry with the complete text if the requester is too far behind
      */
     public List<ConfigRecord> since(long known) {
         if (known >= version) {
--- a/core/src/main/java/org/hornbeamhead/core/config/OperatorsConfig.java
+++ b/core/src/main/java/org/hornbeamhead/core/config/OperatorsConfig.java
@@ -7,14 +7,14 @@
 import java.util.Optional;
 
 /**
- * What the operators state: classes with their targets, customers, and pools with what they serve. No weights and no
- * addresses.
+ * The configuration written by the operators: classes of work with their targets, customers, and pools with what they
+ * serve. It holds no load-balancing weights and no addresses.
  *
- * @param fleet the fleet's name
- * @param zone the time zone of the hours by which batches must finish
- * @param classes by name
- * @param pools by name
- * @param customers by name
+ * @param fleet the name of the fleet
+ * @param zone the time zone of the times of day by which batch requests must finish
+ * @param classes the classes of work by name
+ * @param pools the pools by name
+ * @param customers the customers by name
  */
 public record OperatorsConfig(
         String fleet,
@@ -22,12 +22,12 @@
         Map<String, RequestClass> classes,
         Map<String, Pool> pools,
         Map<String, Customer> customers) {
-    /** Before the first configuration: nothing is served. */
+    /** The empty configuration, used before the first one is read; nothing is served. */
     public static final OperatorsConfig EMPTY = new OperatorsConfig("", ZoneOffset.UTC, Map.of(), Map.of(), Map.of());
 
-    private static final double NO_TARGET_MILLIS = 1_000;
+    private static final double DEFAULT_FIRST_TOKEN_MILLIS = 1_000;
 
-    /** Copies the maps, so that the configuration cannot change. */
+    /** Copies the maps to keep the configuration immutable. */
     public OperatorsConfig {
         classes = Map.copyOf(classes);
         pools = Map.copyOf(pools);
@@ -49,7 +49,7 @@
     /**
      * Finds the pool of engines that serves a model.
      *
-     * @param model the model's name, or the pool's
+     * @param model the name of the model or of the pool
      * @return the pool
      */
     public Optional<Pool> poolByModel(String model) {
@@ -60,20 +60,20 @@
     }
 
     /**
-     * Gives the tightest target of the interactive classes.
+     * Returns the shortest first-token target of the interactive classes.
      *
-     * @return milliseconds to the first token; a second when no class is interactive
+     * @return the target in milliseconds; one second if no class is interactive
      */
     public double tightestFirstTokenMillis() {
         return classes.values().stream()
                 .filter(c -> !c.batch())
                 .mapToDouble(c -> c.firstToken().toMillis())
                 .min()
-                .orElse(NO_TARGET_MILLIS);
+                .orElse(DEFAULT_FIRST_TOKEN_MILLIS);
     }
 
     /**
-     * Lists the customers' names in order.
+     * Returns the names of the customers in alphabetical order.
      *
      * @return the names
      */
--- a/core/src/main/java/org/hornbeamhead/core/config/OperatorsConfigReader.java
+++ b/core/src/main/java/org/hornbeamhead/core/config/OperatorsConfigReader.java
@@ -21,11 +21,11 @@
 import org.hornbeamhead.core.settings.IniSection;
 import org.hornbeamhead.core.settings.SectionReader;
 
-/** Reads the operators' INI text and reports all that is wrong with it together. */
+/** Reads the operators' INI text and reports all of its errors together. */
 public final class OperatorsConfigReader {
     private static final Pattern ADDRESS = Pattern.compile(".*\\b\\d{1,3}(\\.\\d{1,3}){3}\\b.*");
     private static final Pattern SHA256 = Pattern.compile("[0-9a-f]{64}");
-    private static final Set<String> STEERING =
+    private static final Set<String> FORBIDDEN_KEYS =
             Set.of("weight", "priority", "share", "address", "addresses", "replica", "replicas", "host", "hosts");
 
     private final Findings findings = new Findings();
@@ -39,29 +39,29 @@
     private OperatorsConfigReader() {}
 
     /**
-     * Reads a text.
+     * Parses and validates a configuration text.
      *
-     * @param source the file's name, for findings
+     * @param source the name of the file, used in findings
      * @param text the INI text
-     * @return the configuration, or every finding
+     * @return the configuration, or all findings
      */
     public static Validation<List<Finding>, OperatorsConfig> read(String source, String text) {
         OperatorsConfigReader reader = new OperatorsConfigReader();
         List<IniSection> sections = new IniReader(source, reader.findings).read(text);
-        sections.forEach(reader::section);
-        reader.checkWhole(source);
+        sections.forEach(reader::readSection);
+        reader.checkReferences(source);
         return reader.findings.toValidation(
                 () -> new OperatorsConfig(reader.fleet, reader.zone, reader.classes, reader.pools, reader.customers));
     }
 
-    private void section(IniSection section) {
-        section.entries().forEach(this::checkSteering);
+    private void readSection(IniSection section) {
+        section.entries().forEach(this::checkForbiddenContent);
         SectionReader in = new SectionReader(section, findings);
         switch (section.kind()) {
             case "fleet" -> fleet(in);
-            case "class" -> titled(section, name -> classes.put(name, requestClass(section, in)));
-            case "pool" -> titled(section, name -> pools.put(name, pool(section, in)));
-            case "customer" -> titled(section, name -> {
+            case "class" -> readNamedSection(section, name -> classes.put(name, requestClass(section, in)));
+            case "pool" -> readNamedSection(section, name -> pools.put(name, pool(section, in)));
+            case "customer" -> readNamedSection(section, name -> {
                 customers.put(name, customer(name, in));
                 customerSections.put(name, section);
             });
@@ -75,10 +75,10 @@
                 return;
             }
         }
-        in.finish();
+        in.reportUnknownKeys();
     }
 
-    private void titled(IniSection section, Consumer<String> read) {
+    private void readNamedSection(IniSection section, Consumer<String> read) {
         if (section.title().isEmpty()) {
             findings.add(new Finding(
                     section.source(), section.line(), section.name(), "", "the section needs a name after its kind"));
@@ -86,8 +86,8 @@
         read.accept(section.title());
     }
 
-    private void checkSteering(IniEntry entry) {
-        if (STEERING.contains(entry.key())) {
+    private void checkForbiddenContent(IniEntry entry) {
+        if (FORBIDDEN_KEYS.contains(entry.key())) {
             findings.add(entry, "operators state targets; the system itself sets weights and finds addresses");
         }
         if (ADDRESS.matcher(entry.value()).matches()) {
@@ -104,20 +104,22 @@
         String kind = in.required("kind", text -> oneOf(text, "interactive", "batch"), "interactive");
         Optional<Duration> first = in.duration("first-token");
         Optional<Duration> between = in.duration("between-tokens");
-        Optional<LocalTime> by = in.optional("finish-by", OperatorsConfigReader::hour);
+        Optional<LocalTime> by = in.optional("finish-by", OperatorsConfigReader::timeOfDay);
         Optional<Duration> within = in.duration("finish-within");
         boolean batch = kind.equals("batch");
         if (batch) {
-            refuse(section, "first-token", first, "a batch class has a time to finish, not a first token's target");
-            refuse(section, "between-tokens", between, "a batch class has no target between tokens");
+            reportUnexpected(
+                    section, "first-token", first, "a batch class has a time to finish, not a first token's target");
+            reportUnexpected(section, "between-tokens", between, "a batch class has no target between tokens");
             if (by.isEmpty() && within.isEmpty()) {
-                missing(section, "finish-by", "a batch class states finish-by or finish-within");
+                reportMissing(section, "finish-by", "a batch class states finish-by or finish-within");
             }
         } else {
-            refuse(section, "finish-by", by, "an interactive class states first-token, not a time to finish");
-            refuse(section, "finish-within", within, "an interactive class states first-token, not a time to finish");
+            reportUnexpected(section, "finish-by", by, "an interactive class states first-token, not a time to finish");
+            reportUnexpected(
+                    section, "finish-within", within, "an interactive class states first-token, not a time to finish");
             if (first.isEmpty()) {
-                missing(section, "first-token", "an interactive class states first-token");
+                reportMissing(section, "first-token", "an interactive class states first-token");
             }
         }
         return new RequestClass(
@@ -135,20 +137,21 @@
         Optional<String> model = in.text("model");
         Optional<String> weights = in.text("weights");
         List<String> adapters = in.names("adapters");
-        List<String> once = in.names("not-repeatable");
+        List<String> notRepeatable = in.names("not-repeatable");
         if (engine) {
             if (model.isEmpty()) {
-                missing(section, "model", "a pool of engines states its model");
+                reportMissing(section, "model", "a pool of engines states its model");
             }
             if (weights.isEmpty()) {
-                missing(section, "weights", "a pool of engines states the version of its weights");
+                reportMissing(section, "weights", "a pool of engines states the version of its weights");
             }
-            refuse(section, "not-repeatable", section.entry("not-repeatable"), "only services have such calls");
+            reportUnexpected(
+                    section, "not-repeatable", section.entry("not-repeatable"), "only services have such calls");
         } else {
-            refuse(section, "model", model, "a pool of services has no model");
-            refuse(section, "weights", weights, "a pool of services has no weights");
+            reportUnexpected(section, "model", model, "a pool of services has no model");
+            reportUnexpected(section, "weights", weights, "a pool of services has no weights");
         }
-        return new Pool(section.title(), engine, model.orElse(""), weights.orElse(""), adapters, once);
+        return new Pool(section.title(), engine, model.orElse(""), weights.orElse(""), adapters, notRepeatable);
     }
 
     private Customer customer(String name, SectionReader in) {
@@ -159,7 +162,7 @@
                 in.names("pools"));
     }
 
-    private void checkWhole(String source) {
+    private void checkReferences(String source) {
         if (fleet.isEmpty()) {
             findings.add(new Finding(source, 0, "fleet", "name", "the fleet's name is missing"));
         }
@@ -170,27 +173,27 @@
         IniSection section = customerSections.get(customer.name());
         checkNames(section, "classes", customer.classes(), classes.keySet());
         checkNames(section, "pools", customer.pools(), pools.keySet());
-        boolean doubled = customers.values().stream()
+        boolean duplicateKey = customers.values().stream()
                 .anyMatch(o ->
                         o.name().compareTo(customer.name()) < 0 && o.keySha256().equals(customer.keySha256()));
-        if (doubled) {
+        if (duplicateKey) {
             section.entry("key-sha256").ifPresent(e -> findings.add(e, "another customer has the same key"));
         }
     }
 
     private void checkNames(IniSection section, String key, List<String> used, Set<String> known) {
         if (used.isEmpty()) {
-            missing(section, key, "a customer without " + key + " could use nothing");
+            reportMissing(section, key, "a customer without " + key + " could use nothing");
         }
         used.stream().filter(n -> !known.contains(n)).forEach(n -> section.entry(key)
                 .ifPresent(e -> findings.add(e, "'" + n + "' is not defined in this file")));
     }
 
-    private void refuse(IniSection section, String key, Optional<?> value, String message) {
+    private void reportUnexpected(IniSection section, String key, Optional<?> value, String message) {
         value.flatMap(v -> section.entry(key)).ifPresent(entry -> findings.add(entry, message));
     }
 
-    private void missing(IniSection section, String key, String message) {
+    private void reportMissing(IniSection section, String key, String message) {
         findings.add(new Finding(section.source(), section.line(), section.name(), key, message));
     }
 
@@ -214,7 +217,7 @@
         }
     }
 
-    private static Either<String, LocalTime> hour(String text) {
+    private static Either<String, LocalTime> timeOfDay(String text) {
         try {
             return Either.right(LocalTime.parse(text));
         } catch (DateTimeException e) {
--- a/core/src/main/java/org/hornbeamhead/core/config/Pool.java
+++ b/core/src/main/java/org/hornbeamhead/core/config/Pool.java
@@ -5,13 +5,13 @@
 /**
  * A pool of replicas.
  *
- * @param name the name, as in the list of hosts
- * @param isEngine whether its replicas are model engines; else plain services
- * @param model engines: the model served
- * @param weights engines: the version of the weights that requests must meet
- * @param adapters engines: the adapters that may be asked for
- * @param notRepeatable services: calls that must run at most once, as method and path prefix, such as {@code POST
- *     /bids}
+ * @param name the name of the pool, as in the list of hosts
+ * @param isEngine true if the replicas are model engines, false if they are plain services
+ * @param model for engines, the model that they serve
+ * @param weights for engines, the version of the weights that requests must be served with
+ * @param adapters for engines, the adapters that requests may name
+ * @param notRepeatable for services, the calls that must run at most once, as method and path prefix, such as
+ *     {@code POST /bids}
  */
 public record Pool(
         String name,
@@ -20,18 +20,18 @@
         String weights,
         List<String> adapters,
         List<String> notRepeatable) {
-    /** Copies the lists, so that the pool cannot change. */
+    /** Copies the lists to keep the pool immutable. */
     public Pool {
         adapters = List.copyOf(adapters);
         notRepeatable = List.copyOf(notRepeatable);
     }
 
     /**
-     * Tells whether a call must run at most once.
+     * Returns whether a call must run at most once.
      *
      * @param method the HTTP method
-     * @param path the path at the service
-     * @return true when the operators say so
+     * @param path the path of the call at the service
+     * @return true if the configuration lists the call as not repeatable
      */
     public boolean isNotRepeatable(String method, String path) {
         return notRepeatable.stream().anyMatch(call -> (method + " " + path).startsWith(call));
--- a/core/src/main/java/org/hornbeamhead/core/config/RequestClass.java
+++ b/core/src/main/java/org/hornbeamhead/core/config/RequestClass.java
@@ -7,14 +7,14 @@
 import java.util.Optional;
 
 /**
- * A class of work and its target.
+ * A class of work with its latency target or completion time.
  *
- * @param name the name
- * @param batch whether the class may wait until a time
- * @param firstToken interactive: how soon the first token must come; batch: zero
- * @param betweenTokens interactive: how soon each further token must come; batch: zero
- * @param finishBy batch: the hour by which a request must be done
- * @param finishWithin batch: the time after arrival within which a request must be done
+ * @param name the name of the class
+ * @param batch true for a batch class, whose requests may wait until a given time; false for an interactive class
+ * @param firstToken the maximum time to the first token for interactive classes; zero for batch classes
+ * @param betweenTokens the maximum time between tokens for interactive classes; zero for batch classes
+ * @param finishBy for batch classes, the time of day by which a request must finish
+ * @param finishWithin for batch classes, the time after arrival within which a request must finish
  */
 public record RequestClass(
         String name,
@@ -23,23 +23,23 @@
         Duration betweenTokens,
         Optional<LocalTime> finishBy,
         Optional<Duration> finishWithin) {
-    private static final Duration LONGEST = Duration.ofHours(24);
+    private static final Duration MAX_TIME_LEFT = Duration.ofHours(24);
 
     /**
-     * Computes how long a batch request may take.
+     * Returns how long a batch request may take.
      *
      * @param now the time of arrival
-     * @param zone the zone of the hour
-     * @return the time left until it must be done
+     * @param zone the time zone of the time of day in {@code finishBy}
+     * @return the time left until the request must finish
      */
     public Duration timeLeft(ZonedDateTime now, ZoneId zone) {
-        Duration byHour = finishBy.map(hour -> untilNext(hour, now.withZoneSameInstant(zone)))
-                .orElse(LONGEST);
-        return finishWithin.filter(d -> d.compareTo(byHour) < 0).orElse(byHour);
+        Duration untilFinishBy = finishBy.map(timeOfDay -> untilNext(timeOfDay, now.withZoneSameInstant(zone)))
+                .orElse(MAX_TIME_LEFT);
+        return finishWithin.filter(d -> d.compareTo(untilFinishBy) < 0).orElse(untilFinishBy);
     }
 
-    private static Duration untilNext(LocalTime hour, ZonedDateTime now) {
-        ZonedDateTime today = now.with(hour);
+    private static Duration untilNext(LocalTime timeOfDay, ZonedDateTime now) {
+        ZonedDateTime today = now.with(timeOfDay);
         return Duration.between(now, today.isAfter(now) ? today : today.plusDays(1));
     }
 }
--- a/core/src/main/java/org/hornbeamhead/core/config/SectionChange.java
+++ b/core/src/main/java/org/hornbeamhead/core/config/SectionChange.java
@@ -3,9 +3,10 @@
 import java.util.Optional;
 
 /**
- * One section's new text, or its removal.
+ * The new text of one section, or its removal.
  *
- * @param name the section's name; empty for the lines before the first header
- * @param text the section's whole text with its header, each line ended by a line feed; empty to remove the section
+ * @param name the name of the section; empty for the lines before the first header
+ * @param text the complete text of the section with its header, each line terminated by a line feed; empty to remove
+ *     the section
  */
 public record SectionChange(String name, Optional<String> text) {}
--- a/core/src/main/java/org/hornbeamhead/core/drain/DrainOrders.java
+++ b/core/src/main/java/org/hornbeamhead/core/drain/DrainOrders.java
@@ -80,7 +80,7 @@
      * @param author who ends it
      * @return the orders after that
      */
-    public DrainOrders ended(String address, String author) {
+    public DrainOrders withEnded(String address, String author) {
         return new DrainOrders(orders.stream()
                 .map(o -> o.isInForce() && o.address().equals(address)
                         ? new DrainOrder(o.address(), o.author(), o.wallMillis(), o.reason(), author)
--- a/core/src/main/java/org/hornbeamhead/core/drain/DrainView.java
+++ b/core/src/main/java/org/hornbeamhead/core/drain/DrainView.java
@@ -60,7 +60,7 @@
      * @param held the lease
      * @return the orders of the last successful read; empty while none was made since the lease was won
      */
-    public Optional<DrainOrders> under(LeaseState held) {
+    public Optional<DrainOrders> ordersUnder(LeaseState held) {
         return newest.filter(r -> r.leases().contains(held.lease())).map(Reading::orders);
     }
 }
--- a/core/src/main/java/org/hornbeamhead/core/settings/SectionReader.java
+++ b/core/src/main/java/org/hornbeamhead/core/settings/SectionReader.java
@@ -85,7 +85,7 @@
      * @param key the key
      * @return the number, empty when absent or wrong
      */
-    public Optional<Integer> positive(String key) {
+    public Optional<Integer> positiveInteger(String key) {
         return optional(key, SectionReader::positiveNumber);
     }
 
@@ -100,7 +100,7 @@
     }
 
     /** Reports each key of the section that was never asked for. Called last. */
-    public void finish() {
+    public void reportUnknownKeys() {
         section.entries().stream()
                 .filter(e -> !known.contains(e.key()))
                 .forEach(e -> findings.add(e, "unknown key; known here: " + String.join(", ", sorted(known))));
--- a/core/src/test/java/org/hornbeamhead/core/config/ConfigLogTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/config/ConfigLogTest.java
@@ -41,21 +41,21 @@
         return ((AppendResult.Accepted) result).state();
     }
 
-    // Two operators read the same version and both apply. One wins; the other is told what came in between, and nothing
-    // of its own was changed.
+    // Two operators append to the same base version. The first succeeds; the second gets a conflict that lists the
+    // intervening entries, and its change is not applied.
     @Test
-    public void ofTwoRacingOperatorsOneWinsAndTheOtherIsToldWhatChanged() {
+    public void concurrentAppendsToOneVersionGiveOneSuccessAndOneConflict() {
         ConfigState base = accepted(append(ConfigState.NONE, FIRST, "c1"));
         append(base, FIRST + "[class x]\nkind = batch\n", "c2");
         AppendResult second = append(base, FIRST + "[class y]\nkind = batch\n", "c3");
-        AppendResult.Overtaken overtaken = (AppendResult.Overtaken) second;
-        assertEquals(overtaken.others().get(0).changeId(), "c2");
-        assertEquals(overtaken.others().get(0).changes().get(0).name(), "class x");
+        AppendResult.Conflict conflict = (AppendResult.Conflict) second;
+        assertEquals(conflict.interveningRecords().get(0).changeId(), "c2");
+        assertEquals(conflict.interveningRecords().get(0).changes().get(0).name(), "class x");
         assertEquals(latest(ConfigState.NONE).version(), 2);
     }
 
-    // The answer to an operator's write is lost, before or after it took effect. The change is made exactly once and
-    // reported as made.
+    // The reply to a write is lost, before or after the write took effect. The change must be applied at most once, and
+    // the result must say whether it was applied or that this is unknown.
     @DataProvider
     public Object[][] writeFaults() {
         return new Object[][] {
@@ -64,7 +64,7 @@
             {new Fault[] {Fault.REFUSED, Fault.LOST_ANSWER}, AppendResult.Accepted.class},
             {
                 new Fault[] {Fault.REFUSED, Fault.REFUSED, Fault.REFUSED, Fault.REFUSED, Fault.REFUSED},
-                AppendResult.NotMade.class
+                AppendResult.NotApplied.class
             },
             {
                 new Fault[] {Fault.LOST_REQUEST, Fault.REFUSED, Fault.REFUSED, Fault.REFUSED, Fault.REFUSED},
@@ -74,16 +74,17 @@
     }
 
     @Test(dataProvider = "writeFaults")
-    public void lostAnswersAreSettledByReadingBack(Fault[] faults, Class<?> expected) {
+    public void lostRepliesAreResolvedByReadingTheEntryBack(Fault[] faults, Class<?> expected) {
         store.failWrites(faults);
         AppendResult result = append(ConfigState.NONE, FIRST, "c1");
         assertEquals(result.getClass(), expected);
         assertTrue(latest(ConfigState.NONE).version() <= 1);
     }
 
-    // The writer stops after the entry and before the hint. Readers look past the hint and find the entry.
+    // The writer stops after creating the entry and before updating the head key. Readers must look beyond the head and
+    // find the entry.
     @Test
-    public void aStaleHintDoesNotHideAVersion() {
+    public void staleHeadKeyDoesNotHideANewerVersion() {
         ConfigState one = accepted(append(ConfigState.NONE, FIRST, "c1"));
         store.failWrites(Fault.NONE, Fault.REFUSED);
         append(one, FIRST + "; more\n", "c2");
@@ -93,7 +94,7 @@
     }
 
     @Test
-    public void manyVersionsAreReadFromTheLastWholeTextOn() {
+    public void readingManyVersionsStartsAtTheLastFullTextEntry() {
         ConfigState state = ConfigState.NONE;
         for (int i = 1; i <= 200; i++) {
             String text = FIRST + "[customer c" + i % 7 + "]\nkey = " + i + "\n";
@@ -106,10 +107,11 @@
         assertTrue(store.reads() - before <= 70, "a fresh reader took " + (store.reads() - before) + " reads");
     }
 
-    // Five operators race over a service that refuses writes and loses answers, and holders read at random, some with a
-    // stale state. Versions only rise, every accepted change is in the log for good, and none is there twice.
+    // Five operators append concurrently to a service that refuses writes and loses replies, while holders receive
+    // states at random, some of them stale. Versions never decrease, and every accepted change is in the log exactly
+    // once.
     @Test(invocationCount = 5)
-    public void acceptedChangesNeverVanishUnderRandomFaults() {
+    public void acceptedChangesAreNeverLostUnderRandomFaults() {
         long seed = 1 + latest(ConfigState.NONE).version();
         SplittableRandom draws = new SplittableRandom(seed);
         List<ConfigState> operators = new ArrayList<>();
@@ -120,17 +122,18 @@
         }
         List<String> accepted = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
-            int who = draws.nextInt(5);
+            int operator = draws.nextInt(5);
             if (draws.nextInt(3) == 0) {
                 store.failWrites(Fault.values()[draws.nextInt(Fault.values().length)]);
             }
             String id = "c" + i;
-            AppendResult result = append(operators.get(who), FIRST + "[class k" + who + "]\nkind = " + i + "\n", id);
+            AppendResult result =
+                    append(operators.get(operator), FIRST + "[class k" + operator + "]\nkind = " + i + "\n", id);
             if (result instanceof AppendResult.Accepted a) {
                 accepted.add(id);
-                operators.set(who, a.state());
+                operators.set(operator, a.state());
             } else {
-                operators.set(who, latest(operators.get(who)));
+                operators.set(operator, latest(operators.get(operator)));
             }
             ConfigHolder holder = holders.get(draws.nextInt(5));
             long before = holder.state().version();
@@ -150,9 +153,9 @@
         assertEquals(logged.stream().distinct().count(), logged.size(), "seed " + seed);
     }
 
-    // A peer back from a long pause hands out an old version. It is refused, by the version alone.
+    // A peer that resumes after a long pause supplies an old version, which is rejected by its version number.
     @Test
-    public void aHolderNeverGoesBack() {
+    public void holderRejectsOlderVersions() {
         ConfigState one = accepted(append(ConfigState.NONE, FIRST, "c1"));
         ConfigState two = accepted(append(one, FIRST + "[class x]\nkind = batch\nfinish-by = 06:00\n", "c2"));
         ConfigHolder holder = new ConfigHolder();
@@ -164,7 +167,7 @@
     }
 
     @Test
-    public void aPeerThatIsBehindGetsTheEntriesItLacks() {
+    public void outdatedPeerReceivesMissingEntriesOrTheFullText() {
         ConfigState state = ConfigState.NONE;
         for (int i = 1; i <= 100; i++) {
             state = accepted(append(state, FIRST + "; " + i + "\n", "c" + i));
--- a/core/src/test/java/org/hornbeamhead/core/config/ConfigRecordTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/config/ConfigRecordTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test(dataProvider = "records")
-    public void whatIsWrittenIsRead(ConfigRecord record) {
+    public void formattedRecordIsParsedToAnEqualRecord(ConfigRecord record) {
         assertEquals(ConfigRecord.read(record.format()).get(), record);
     }
 
@@ -48,7 +48,7 @@
     }
 
     @Test(dataProvider = "edits")
-    public void changesLeadToTheLaterText(String before, String after, int count) {
+    public void applyingChangesGivesTheLaterText(String before, String after, int count) {
         ConfigDocument base = ConfigDocument.of(before);
         List<SectionChange> changes = base.changesTo(ConfigDocument.of(after)).orElseThrow();
         assertEquals(changes.size(), count);
@@ -56,7 +56,7 @@
     }
 
     @Test
-    public void aNewOrderOfSectionsIsNoEdit() {
+    public void reorderedSectionsCannotBeExpressedAsChanges() {
         ConfigDocument base = ConfigDocument.of("[a]\nx = 1\n[b]\ny = 1\n");
         assertTrue(base.changesTo(ConfigDocument.of("[b]\ny = 1\n[a]\nx = 1\n")).isEmpty());
     }
@@ -71,9 +71,9 @@
         };
     }
 
-    /** Guards against a damaged entry that ends the reading without a word. */
+    /** Guards against a damaged entry that stops reading without an error. */
     @Test(dataProvider = "damaged")
-    public void aDamagedEntryIsReported(String text) {
+    public void damagedEntryIsReportedAsAnError(String text) {
         assertTrue(ConfigRecord.read(text).isLeft());
     }
 }
--- a/core/src/test/java/org/hornbeamhead/core/config/OperatorsConfigReaderTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/config/OperatorsConfigReaderTest.java
@@ -13,7 +13,7 @@
 
 public class OperatorsConfigReaderTest {
     private static final String KEY = "0".repeat(64);
-    private static final String GOOD =
+    private static final String VALID =
             """
             [fleet]
             name = bangkok
@@ -39,15 +39,15 @@
                     .formatted(KEY);
 
     @Test
-    public void aGoodFileIsRead() {
-        OperatorsConfig config = OperatorsConfigReader.read("f.ini", GOOD).get();
+    public void validFileIsRead() {
+        OperatorsConfig config = OperatorsConfigReader.read("f.ini", VALID).get();
         assertEquals(config.tightestFirstTokenMillis(), 400.0);
         assertTrue(config.pools().get("app").isNotRepeatable("POST", "/letters/7"));
         assertEquals(config.customerByKey(KEY).orElseThrow().name(), "c");
     }
 
     @DataProvider
-    public Object[][] faults() {
+    public Object[][] errors() {
         return new Object[][] {
             {"first-token = 400 ms", "first-token = 400", "f.ini:6: [class counter] first-token"},
             {"first-token = 400 ms", "first-token = 400 lightyears", "unknown unit"},
@@ -66,21 +66,22 @@
         };
     }
 
-    @Test(dataProvider = "faults")
-    public void eachFaultIsFoundInItsPlace(String good, String bad, String expected) {
-        List<Finding> findings =
-                OperatorsConfigReader.read("f.ini", GOOD.replace(good, bad)).getError();
+    @Test(dataProvider = "errors")
+    public void eachErrorIsReportedWithItsLocation(String validText, String invalidText, String expected) {
+        List<Finding> findings = OperatorsConfigReader.read("f.ini", VALID.replace(validText, invalidText))
+                .getError();
         assertTrue(findings.stream().anyMatch(f -> f.render().contains(expected)), findings.toString());
     }
 
     @Test
     public void allFindingsAreReportedTogether() {
-        String bad = GOOD.replace("400 ms", "soon").replace("06:00", "early").replace("weights = w1", "");
-        assertTrue(OperatorsConfigReader.read("f.ini", bad).getError().size() >= 3);
+        String invalidText =
+                VALID.replace("400 ms", "soon").replace("06:00", "early").replace("weights = w1", "");
+        assertTrue(OperatorsConfigReader.read("f.ini", invalidText).getError().size() >= 3);
     }
 
     @DataProvider
-    public Object[][] hours() {
+    public Object[][] arrivalTimes() {
         return new Object[][] {
             {"2026-12-01T22:00:00+07:00[Asia/Bangkok]", Duration.ofHours(8)},
             {"2026-12-02T05:59:00+07:00[Asia/Bangkok]", Duration.ofMinutes(1)},
@@ -89,10 +90,10 @@
         };
     }
 
-    @Test(dataProvider = "hours")
-    public void theTimeLeftRunsToTheNextSuchHour(String now, Duration left) {
+    @Test(dataProvider = "arrivalTimes")
+    public void timeLeftEndsAtTheNextOccurrenceOfFinishBy(String now, Duration expected) {
         RequestClass review =
-                OperatorsConfigReader.read("f.ini", GOOD).get().classes().get("review");
-        assertEquals(review.timeLeft(ZonedDateTime.parse(now), ZoneId.of("Asia/Bangkok")), left);
+                OperatorsConfigReader.read("f.ini", VALID).get().classes().get("review");
+        assertEquals(review.timeLeft(ZonedDateTime.parse(now), ZoneId.of("Asia/Bangkok")), expected);
     }
 }
--- a/core/src/test/java/org/hornbeamhead/core/drain/DrainTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/drain/DrainTest.java
@@ -34,7 +34,7 @@
         DrainOrders read = DrainOrders.parse(orders.format());
         assertEquals(read, orders);
         assertTrue(read.isDraining("10.0.0.1:80"));
-        DrainOrders ended = read.ended("10.0.0.1:80", "rui");
+        DrainOrders ended = read.withEnded("10.0.0.1:80", "rui");
         assertFalse(ended.isDraining("10.0.0.1:80"));
         assertEquals(ended.orders().get(0).endedBy(), "rui");
     }
@@ -51,7 +51,7 @@
     public void oldEndedOrdersAreForgottenAndThoseInForceNever() {
         DrainOrders orders = new DrainOrders(List.of()).with(new DrainOrder("kept", "a", 0, "r", ""));
         for (int i = 0; i < 1_500; i++) {
-            orders = orders.with(new DrainOrder("e" + i, "a", i, "r", "")).ended("e" + i, "b");
+            orders = orders.with(new DrainOrder("e" + i, "a", i, "r", "")).withEnded("e" + i, "b");
         }
         assertEquals(orders.orders().size(), 1_000);
         assertTrue(orders.isDraining("kept"));
--- a/ctl/src/main/java/org/hornbeamhead/ctl/ConfigCommands.java
+++ b/ctl/src/main/java/org/hornbeamhead/ctl/ConfigCommands.java
@@ -143,15 +143,15 @@
                             : "accepted as version " + accepted.state().version());
             return ExitCode.OK;
         }
-        if (result instanceof AppendResult.Overtaken overtaken) {
-            return overtaken(overtaken.state(), state.version(), overtaken.others());
+        if (result instanceof AppendResult.Conflict overtaken) {
+            return overtaken(overtaken.state(), state.version(), overtaken.interveningRecords());
         }
         if (result instanceof AppendResult.InDoubt doubt) {
-            System.err.println("hornbeamctl: " + doubt.why() + "; history will show change " + doubt.changeId()
+            System.err.println("hornbeamctl: " + doubt.cause() + "; history will show change " + doubt.changeId()
                     + " if it was made");
             return ExitCode.IN_DOUBT;
         }
-        return failed(((AppendResult.NotMade) result).why() + "; nothing was changed");
+        return failed(((AppendResult.NotApplied) result).cause() + "; nothing was changed");
     }
 
     private ExitCode overtaken(ConfigState state, long base, List<ConfigRecord> others) {
@@ -197,7 +197,7 @@
 
     private static String describe(ConfigRecord r) {
         String what =
-                r.full().isPresent() ? "whole text" : describe(r.changes()).replace('\n', ',');
+                r.fullText().isPresent() ? "whole text" : describe(r.changes()).replace('\n', ',');
         return "version " + r.version() + "  " + Instant.ofEpochMilli(r.wallMillis()) + "  " + r.author() + "  \""
                 + r.reason() + "\"  " + what + "  change " + r.changeId();
     }
@@ -248,7 +248,7 @@
         }
         DrainOrder order = new DrainOrder(endpoint, author.name(), System.currentTimeMillis(), author.reason(), "");
         BiFunction<DrainOrders, DrainOrder, DrainOrders> change =
-                begin ? DrainOrders::with : (all, o) -> all.ended(endpoint, author.name());
+                begin ? DrainOrders::with : (all, o) -> all.withEnded(endpoint, author.name());
         boolean made = onStore(store -> changeDrains(store, order, change, DRAIN_TRIES));
         if (!made) {
             return failed("the platform's service does not answer; repeat the command, which does no harm");
--- a/router/src/main/java/org/hornbeamhead/router/RouterSettings.java
+++ b/router/src/main/java/org/hornbeamhead/router/RouterSettings.java
@@ -58,12 +58,12 @@
                 site.required("data-centre", SectionReader::nonEmpty, ""),
                 SettingsSections.address(platform, "key-value"),
                 SettingsSections.address(platform, "host-list"),
-                limits.positive("requests").orElse(MAX_REQUESTS),
-                limits.positive("batch-queue").orElse(BATCH_QUEUE),
+                limits.positiveInteger("requests").orElse(MAX_REQUESTS),
+                limits.positiveInteger("batch-queue").orElse(BATCH_QUEUE),
                 limits.duration("answer-ttl").orElse(ANSWER_TTL),
                 limits.duration("host-list-every").orElse(HOST_LIST_EVERY),
                 limits.duration("load-every").orElse(LOAD_EVERY));
-        List.of(listen, site, platform, limits).forEach(SectionReader::finish);
+        List.of(listen, site, platform, limits).forEach(SectionReader::reportUnknownKeys);
         return in.findings().toValidation(() -> settings);
     }
 }
