--- a/core/src/main/java/org/hornbeamhead/core/drain/DrainOrder.java
+++ b/core/src/main/java/org/hornbeamhead/core/drain/DrainOrder.java
@@ -1,32 +1,32 @@
 package org.hornbeamhead.core.drain;
 
 /**
- * An operator's wish that an endpoint takes no new work.
+ * An operator's order that an endpoint receives no new work.
  *
- * @param address the endpoint
- * @param author who wishes it
- * @param wallMillis when, in milliseconds since the Unix epoch
- * @param reason why, on one line
- * @param endedBy who ended it; empty while it is in force
+ * @param address the address of the endpoint
+ * @param author the operator who gave the order
+ * @param wallMillis the time of the order, in milliseconds since the Unix epoch
+ * @param reason the reason, on one line
+ * @param endedBy the operator who ended the order; empty while it is in force
  */
 public record DrainOrder(String address, String author, long wallMillis, String reason, String endedBy) {
-    /** Puts the texts on one line each, without the separator. */
+    /** Reduces each text to one line and replaces the field separator {@code |} with a space. */
     public DrainOrder {
-        author = clean(author);
-        reason = clean(reason);
-        endedBy = clean(endedBy);
+        author = removeSeparators(author);
+        reason = removeSeparators(reason);
+        endedBy = removeSeparators(endedBy);
     }
 
     /**
-     * Tells whether the order is in force.
+     * Returns whether the order is in force.
      *
-     * @return true until somebody ended it
+     * @return true until an operator ends the order
      */
     public boolean isInForce() {
         return endedBy.isEmpty();
     }
 
-    private static String clean(String text) {
+    private static String removeSeparators(String text) {
         return text.replaceAll("[\\s|]+", " ").trim();
     }
 }
--- a/core/src/main/java/org/hornbeamhead/core/drain/DrainSequence.java
+++ b/core/src/main/java/org/hornbeamhead/core/drain/DrainSequence.java
@@ -3,11 +3,11 @@
 import org.hornbeamhead.core.time.Clock;
 
 /**
- * The order of a graceful shutdown.
+ * The sequence of states of a graceful shutdown.
  *
- * <p>Failure: a process stops listening while callers still hold its address from an answer given a moment ago.
- * Symptom: refused connections at every planned restart. So the address leaves the answers first, and the listener
- * stays until the longest-lived answer has run out and the last stream has ended.
+ * <p>If a process stopped listening while callers still use its address from a recent answer, every planned restart
+ * would cause refused connections. The address is therefore removed from new answers first, and the listener stays open
+ * until the longest-lived answer has expired and the last stream has ended.
  */
 public final class DrainSequence {
     private final Clock clock;
@@ -16,18 +16,18 @@
     private long leavingSinceMillis;
 
     /**
-     * Makes a sequence that is serving.
+     * Creates a sequence in state {@link DrainState#SERVING}.
      *
      * @param clock the clock
-     * @param answerTtlMillis how long callers may keep an address answer, with the time it takes others to hear that
-     *     this process leaves, in milliseconds
+     * @param answerTtlMillis how long callers may use an address answer, plus the time until other processes learn that
+     *     this one is leaving, in milliseconds
      */
     public DrainSequence(Clock clock, long answerTtlMillis) {
         this.clock = clock;
         this.answerTtlMillis = answerTtlMillis;
     }
 
-    /** Starts to leave. A second call does nothing. */
+    /** Starts the shutdown. Further calls have no effect. */
     public void leave() {
         if (state == DrainState.SERVING) {
             state = DrainState.LEAVING;
@@ -36,10 +36,10 @@
     }
 
     /**
-     * Moves on as far as possible.
+     * Advances to the latest state that can be reached now.
      *
-     * @param running the requests still in work
-     * @return the state reached
+     * @param running the number of requests in progress
+     * @return the new state
      */
     public DrainState step(int running) {
         if (state == DrainState.LEAVING && clock.monotonicMillis() - leavingSinceMillis >= answerTtlMillis) {
@@ -52,18 +52,18 @@
     }
 
     /**
-     * Tells whether new requests are taken.
+     * Returns whether new requests are accepted.
      *
-     * @return true until the answers that name this process have run out
+     * @return true until the answers that contain this process have expired
      */
     public boolean acceptsWork() {
         return state == DrainState.SERVING || state == DrainState.LEAVING;
     }
 
     /**
-     * Tells whether others may name this process in address answers.
+     * Returns whether address answers may contain this process.
      *
-     * @return true while serving
+     * @return true in state {@link DrainState#SERVING}
      */
     public boolean isAdvertised() {
         return state == DrainState.SERVING;
--- a/core/src/main/java/org/hornbeamhead/core/drain/DrainState.java
+++ b/core/src/main/java/org/hornbeamhead/core/drain/DrainState.java
@@ -1,13 +1,13 @@
 package org.hornbeamhead.core.drain;
 
-/** How far a graceful shutdown has come. */
+/** The states of a graceful shutdown, in order. */
 public enum DrainState {
-    /** Serving. */
+    /** Normal operation, before the shutdown starts. */
     SERVING,
-    /** Named in no new address answer, still serving whoever holds an older one. */
+    /** Removed from new address answers, but still accepting requests from callers that use an older one. */
     LEAVING,
-    /** No new request is taken; the last ones end. */
+    /** No new requests are accepted; requests in progress are completed. */
     FINISHING,
-    /** Nothing is left; the process may end. */
+    /** All requests have ended; the process may exit. */
     DONE
 }
--- a/core/src/main/java/org/hornbeamhead/core/drain/DrainView.java
+++ b/core/src/main/java/org/hornbeamhead/core/drain/DrainView.java
@@ -7,23 +7,23 @@
 import org.hornbeamhead.core.store.StoreReply;
 
 /**
- * The drain orders as a holder of leases may act upon them.
+ * The drain orders that a lease holder may act on.
  *
- * <p>Failure: a process wins a lease and has no drain orders, or those of a time when another held it. Symptom: it
- * takes an operator's drain that it never read for an ended one, and work comes back to the endpoint. So orders count
- * only under the leases that were held when they were asked for.
+ * <p>A process that acquires a lease may have read no drain orders yet, or only those from a time when another process
+ * held the lease. It would then treat an operator's drain that it never read as ended and send work to the endpoint
+ * again. Orders are therefore valid only under leases that were already held when the read started.
  *
- * <p>Owned by one thread.
+ * <p>Not thread-safe; must be used by one thread.
  */
 public final class DrainView {
-    private record Reading(DrainOrders orders, Set<String> leases) {}
+    private record ReadResult(DrainOrders orders, Set<String> leases) {}
 
     private final KeyValueStore store;
-    private Optional<Reading> newest = Optional.empty();
-    private boolean reading;
+    private Optional<ReadResult> lastResult = Optional.empty();
+    private boolean readInProgress;
 
     /**
-     * Makes a view that knows nothing yet.
+     * Creates a view without orders.
      *
      * @param store the platform's service
      */
@@ -32,19 +32,19 @@
     }
 
     /**
-     * Asks for the orders unless a question is under way, so that no older answer follows a newer one.
+     * Starts reading the orders unless a read is in progress, so that an older reply cannot replace a newer one.
      *
-     * @param leases the platform's ids of the leases that are held now; without any nothing is asked
+     * @param leases the platform's ids of the leases held now; nothing is read if there are none
      */
     public void read(Set<String> leases) {
-        if (reading || leases.isEmpty()) {
+        if (readInProgress || leases.isEmpty()) {
             return;
         }
-        reading = true;
+        readInProgress = true;
         store.read(DrainOrders.KEY)
-                .thenAccept(
-                        reply -> orders(reply).ifPresent(orders -> newest = Optional.of(new Reading(orders, leases))))
-                .whenComplete((v, e) -> reading = false);
+                .thenAccept(reply ->
+                        orders(reply).ifPresent(orders -> lastResult = Optional.of(new ReadResult(orders, leases))))
+                .whenComplete((v, e) -> readInProgress = false);
     }
 
     private static Optional<DrainOrders> orders(StoreReply reply) {
@@ -55,12 +55,13 @@
     }
 
     /**
-     * Returns what may be acted upon under a lease.
+     * Returns the orders that are valid under a lease.
      *
-     * @param held the lease
-     * @return the orders of the last successful read; empty while none was made since the lease was won
+     * @param lease the lease that is held
+     * @return the orders of the last successful read; empty if no read has succeeded that started while the lease was
+     *     held
      */
-    public Optional<DrainOrders> ordersUnder(LeaseState held) {
-        return newest.filter(r -> r.leases().contains(held.lease())).map(Reading::orders);
+    public Optional<DrainOrders> ordersUnder(LeaseState lease) {
+        return lastResult.filter(r -> r.leases().contains(lease.lease())).map(ReadResult::orders);
     }
 }
--- a/core/src/main/java/org/hornbeamhead/core/settings/Addresses.java
+++ b/core/src/main/java/org/hornbeamhead/core/settings/Addresses.java
@@ -7,21 +7,23 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Reads addresses such as {@code 10.0.0.1:8080}. Names are refused: hosts are reached by IP number. */
+/**
+ * Parses and formats addresses such as {@code 10.0.0.1:8080}. Host names are rejected; hosts are reached by IP address.
+ */
 public final class Addresses {
-    private static final Pattern FORM = Pattern.compile("(\\d{1,3}(?:\\.\\d{1,3}){3}):(\\d{1,5})");
+    private static final Pattern FORMAT = Pattern.compile("(\\d{1,3}(?:\\.\\d{1,3}){3}):(\\d{1,5})");
     private static final int MAX_PORT = 65_535;
 
     private Addresses() {}
 
     /**
-     * Reads an address.
+     * Parses an IP address and port.
      *
      * @param text the text
-     * @return the address, or what is wrong with the text
+     * @return the address, or a message that says why the text is invalid
      */
     public static Either<String, InetSocketAddress> parse(String text) {
-        Matcher m = FORM.matcher(text.trim());
+        Matcher m = FORMAT.matcher(text.trim());
         if (!m.matches() || Integer.parseInt(m.group(2)) > MAX_PORT) {
             return Either.left("'" + text + "' is no address; write an IP number and a port, such as 10.0.0.1:8080");
         }
@@ -33,10 +35,10 @@
     }
 
     /**
-     * Writes an address.
+     * Formats an address.
      *
      * @param address the address
-     * @return the text that {@link #parse} reads
+     * @return the text that {@link #parse} accepts
      */
     public static String format(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
--- a/core/src/main/java/org/hornbeamhead/core/settings/Durations.java
+++ b/core/src/main/java/org/hornbeamhead/core/settings/Durations.java
@@ -6,9 +6,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Reads durations such as {@code 400 ms}, {@code 2s}, {@code 5 min}, {@code 1 h}. The unit is required. */
+/** Parses durations such as {@code 400 ms}, {@code 2s}, {@code 5 min}, {@code 1 h}. The unit is required. */
 public final class Durations {
-    private static final Pattern FORM = Pattern.compile("(\\d{1,9})\\s*([a-z]+)");
+    private static final Pattern FORMAT = Pattern.compile("(\\d{1,9})\\s*([a-z]+)");
     private static final Map<String, Duration> UNITS = Map.of(
             "ms", Duration.ofMillis(1),
             "s", Duration.ofSeconds(1),
@@ -18,13 +18,13 @@
     private Durations() {}
 
     /**
-     * Reads a duration.
+     * Parses a number with a unit.
      *
      * @param text the text
-     * @return the duration, or what is wrong with the text
+     * @return the duration, or a message that says why the text is invalid
      */
     public static Either<String, Duration> parse(String text) {
-        Matcher m = FORM.matcher(text.trim());
+        Matcher m = FORMAT.matcher(text.trim());
         if (!m.matches()) {
             return Either.left("'" + text + "' is no duration; write a number and a unit, such as 400 ms");
         }
--- a/core/src/main/java/org/hornbeamhead/core/settings/Finding.java
+++ b/core/src/main/java/org/hornbeamhead/core/settings/Finding.java
@@ -1,17 +1,17 @@
 package org.hornbeamhead.core.settings;
 
 /**
- * One thing wrong with an input, with its place.
+ * An error in an input, with its location.
  *
- * @param source the file name or the name of the request part
- * @param line the line, counted from 1, or 0 where the input has no lines
- * @param section the INI section or the JSON path's parent; may be empty
- * @param key the key; may be empty when the section itself is at fault
- * @param message what is wrong and what would be right
+ * @param source the name of the file or of the part of the request
+ * @param line the line number, counted from 1, or 0 if the input has no lines
+ * @param section the INI section or the parent of the JSON path; may be empty
+ * @param key the key; empty if the section itself is invalid
+ * @param message what is wrong and what is expected
  */
 public record Finding(String source, int line, String section, String key, String message) {
     /**
-     * Renders the finding as {@code file:line: [section] key: message}.
+     * Formats the finding as {@code file:line: [section] key: message}.
      *
      * @return one line of text
      */
--- a/core/src/main/java/org/hornbeamhead/core/settings/Findings.java
+++ b/core/src/main/java/org/hornbeamhead/core/settings/Findings.java
@@ -6,23 +6,23 @@
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
 
-/** Collects findings while an input is read, so that all of them are reported together. */
+/** Collects the findings of one input, so that all of them are reported together. */
 public final class Findings {
     private final List<Finding> list = new ArrayList<>();
 
     /**
      * Adds a finding.
      *
-     * @param finding what is wrong, and where
+     * @param finding the finding
      */
     public void add(Finding finding) {
         list.add(finding);
     }
 
     /**
-     * Adds a finding at an INI entry.
+     * Adds a finding for an INI entry.
      *
-     * @param entry the entry at fault
+     * @param entry the invalid entry
      * @param message what is wrong
      */
     public void add(IniEntry entry, String message) {
@@ -30,36 +30,36 @@
     }
 
     /**
-     * Tells whether nothing was found.
+     * Returns whether there are no findings.
      *
-     * @return true when the input is clean
+     * @return true if no finding was added
      */
     public boolean isEmpty() {
         return list.isEmpty();
     }
 
     /**
-     * Returns the findings so far.
+     * Returns the findings added so far.
      *
-     * @return an immutable copy, in the order of discovery
+     * @return an immutable copy, in the order of addition
      */
     public List<Finding> toList() {
         return List.copyOf(list);
     }
 
     /**
-     * Ends the collection with a value or with all findings.
+     * Returns a valid value if there are no findings, or else all findings.
      *
-     * @param value makes the value; called only when nothing was found
+     * @param value supplies the value; called only if there are no findings
      * @param <T> the type of the value
-     * @return the value, or every finding
+     * @return the value, or all findings
      */
     public <T> Validation<List<Finding>, T> toValidation(Supplier<T> value) {
         return list.isEmpty() ? Validation.valid(value.get()) : Validation.invalid(toList());
     }
 
     /**
-     * Renders findings one a line.
+     * Formats findings, one per line.
      *
      * @param findings the findings
      * @return the text
--- a/core/src/main/java/org/hornbeamhead/core/settings/IniReader.java
+++ b/core/src/main/java/org/hornbeamhead/core/settings/IniReader.java
@@ -9,16 +9,16 @@
 import org.ini4j.spi.IniHandler;
 import org.ini4j.spi.IniParser;
 
-/** Reads an INI text into sections that know their lines. Parsing itself is ini4j's. */
+/** Parses an INI text with ini4j into sections and entries that carry their line numbers. */
 public final class IniReader {
     private final String source;
     private final Findings findings;
 
     /**
-     * Makes a reader.
+     * Creates a reader.
      *
-     * @param source the file's name, for findings
-     * @param findings receives what is wrong
+     * @param source the name of the file, used in findings
+     * @param findings receives the errors found
      */
     public IniReader(String source, Findings findings) {
         this.source = source;
@@ -26,18 +26,18 @@
     }
 
     /**
-     * Reads a text. Lines that cannot be read and keys given twice become findings.
+     * Parses a text. Invalid lines and duplicate sections and keys are added as findings.
      *
      * @param text the INI text
-     * @return the sections in their order
+     * @return the sections in the order of the text
      */
     public List<IniSection> read(String text) {
-        LineFeed feed = new LineFeed(text);
-        Collector collector = new Collector(feed);
+        LineNumberTrackingReader reader = new LineNumberTrackingReader(text);
+        SectionCollector collector = new SectionCollector(reader);
         try {
-            parser().parse(feed, collector);
+            parser().parse(reader, collector);
         } catch (InvalidFileFormatException e) {
-            findings.add(new Finding(source, feed.line(), "", "", "not an INI line: " + feed.current()));
+            findings.add(new Finding(source, reader.line(), "", "", "not an INI line: " + reader.current()));
         } catch (IOException e) {
             throw new IllegalStateException("reading from memory failed", e);
         }
@@ -54,15 +54,15 @@
     }
 
     /**
-     * Hands the parser one line a call. The parser reads no further than it must, so that the current line is that of
-     * the entry being reported; ini4j itself does not tell it.
+     * Supplies at most one line per read call. The parser does not read ahead, so that the current line is that of the
+     * entry being reported; ini4j itself does not report line numbers.
      */
-    private static final class LineFeed extends Reader {
+    private static final class LineNumberTrackingReader extends Reader {
         private final String[] lines;
         private int next;
         private int offset;
 
-        LineFeed(String text) {
+        LineNumberTrackingReader(String text) {
             this.lines = text.split("\n", -1);
         }
 
@@ -75,7 +75,7 @@
         }
 
         @Override
-        public int read(char[] buffer, int at, int length) {
+        public int read(char[] buffer, int start, int length) {
             if (next == 0 || offset >= lines[next - 1].length() + 1) {
                 if (next == lines.length) {
                     return -1;
@@ -85,7 +85,7 @@
             }
             String line = lines[next - 1] + "\n";
             int count = Math.min(length, line.length() - offset);
-            line.getChars(offset, offset + count, buffer, at);
+            line.getChars(offset, offset + count, buffer, start);
             offset += count;
             return count;
         }
@@ -101,15 +101,15 @@
         }
     }
 
-    private final class Collector implements IniHandler {
-        private final LineFeed feed;
+    private final class SectionCollector implements IniHandler {
+        private final LineNumberTrackingReader reader;
         private final List<IniSection> sections = new ArrayList<>();
         private List<IniEntry> entries = new ArrayList<>();
         private String name = "";
         private int headerLine;
 
-        Collector(LineFeed feed) {
-            this.feed = feed;
+        SectionCollector(LineNumberTrackingReader reader) {
+            this.reader = reader;
         }
 
         @Override
@@ -125,7 +125,7 @@
         @Override
         public void startSection(String section) {
             name = section.trim();
-            headerLine = feed.line();
+            headerLine = reader.line();
             entries = new ArrayList<>();
             if (sections.stream().anyMatch(s -> s.name().equals(name))) {
                 findings.add(new Finding(source, headerLine, name, "", "this section stands twice"));
@@ -139,7 +139,7 @@
 
         @Override
         public void handleOption(String key, String value) {
-            IniEntry entry = new IniEntry(source, feed.line(), name, key.trim(), value == null ? "" : value.trim());
+            IniEntry entry = new IniEntry(source, reader.line(), name, key.trim(), value == null ? "" : value.trim());
             if (entries.stream().anyMatch(e -> e.key().equals(entry.key()))) {
                 findings.add(entry, "this key stands twice");
             }
--- a/core/src/main/java/org/hornbeamhead/core/settings/IniSection.java
+++ b/core/src/main/java/org/hornbeamhead/core/settings/IniSection.java
@@ -4,15 +4,15 @@
 import java.util.Optional;
 
 /**
- * One section of an INI text.
+ * A section of an INI text.
  *
- * @param source the file's name
- * @param line the line of the section's header, counted from 1
- * @param name the section's full name
- * @param entries the entries in their order
+ * @param source the name of the file
+ * @param line the line number of the header, counted from 1
+ * @param name the full name of the section
+ * @param entries the entries in the order of the text
  */
 public record IniSection(String source, int line, String name, List<IniEntry> entries) {
-    /** Copies the entries, so that the section cannot change. */
+    /** Copies the entries to keep the section immutable. */
     public IniSection {
         entries = List.copyOf(entries);
     }
@@ -41,7 +41,7 @@
      * Finds an entry.
      *
      * @param key the key
-     * @return the last entry of that key, as in most INI readers
+     * @return the last entry with this key, as in most INI parsers; empty if there is none
      */
     public Optional<IniEntry> entry(String key) {
         return entries.stream().filter(e -> e.key().equals(key)).reduce((a, b) -> b);
--- a/core/src/main/java/org/hornbeamhead/core/settings/SectionReader.java
+++ b/core/src/main/java/org/hornbeamhead/core/settings/SectionReader.java
@@ -9,17 +9,17 @@
 import java.util.Set;
 import java.util.function.Function;
 
-/** Reads typed values out of one section and reports every key that nobody asked for. */
+/** Reads typed values from one section and reports keys that are unknown to its caller. */
 public final class SectionReader {
     private final IniSection section;
     private final Findings findings;
-    private final Set<String> known = new HashSet<>();
+    private final Set<String> requestedKeys = new HashSet<>();
 
     /**
-     * Makes a reader.
+     * Creates a reader.
      *
      * @param section the section
-     * @param findings receives what is wrong
+     * @param findings receives the errors found
      */
     public SectionReader(IniSection section, Findings findings) {
         this.section = section;
@@ -30,12 +30,12 @@
      * Reads an optional value.
      *
      * @param key the key
-     * @param parse gives the value, or says what is wrong
+     * @param parse returns the value, or a message that says why the text is invalid
      * @param <T> the type of the value
-     * @return the value; empty when absent or wrong, the latter with a finding
+     * @return the value; empty if it is absent, or if it is invalid, which adds a finding
      */
     public <T> Optional<T> optional(String key, Function<String, Either<String, T>> parse) {
-        known.add(key);
+        requestedKeys.add(key);
         return section.entry(key).flatMap(entry -> {
             Either<String, T> value = parse.apply(entry.value());
             value.peekLeft(message -> findings.add(entry, message));
@@ -44,13 +44,13 @@
     }
 
     /**
-     * Reads a value that must be there.
+     * Reads a required value.
      *
      * @param key the key
-     * @param parse gives the value, or says what is wrong
-     * @param fallback stands in for a missing value, so that reading can go on to further findings
+     * @param parse returns the value, or a message that says why the text is invalid
+     * @param fallback returned for a missing or invalid value, so that reading can continue and find further errors
      * @param <T> the type of the value
-     * @return the value, or the fallback with a finding
+     * @return the value, or the fallback after adding a finding
      */
     public <T> T required(String key, Function<String, Either<String, T>> parse, T fallback) {
         if (section.entry(key).isEmpty()) {
@@ -60,57 +60,57 @@
     }
 
     /**
-     * Reads a text.
+     * Reads an optional text that must not be blank.
      *
      * @param key the key
-     * @return the text, empty when absent
+     * @return the text; empty if it is absent or blank
      */
     public Optional<String> text(String key) {
         return optional(key, SectionReader::nonEmpty);
     }
 
     /**
-     * Reads a duration.
+     * Reads an optional duration.
      *
      * @param key the key
-     * @return the duration, empty when absent or wrong
+     * @return the duration; empty if it is absent or invalid
      */
     public Optional<Duration> duration(String key) {
         return optional(key, Durations::parse);
     }
 
     /**
-     * Reads a positive whole number.
+     * Reads an optional positive integer.
      *
      * @param key the key
-     * @return the number, empty when absent or wrong
+     * @return the number; empty if it is absent or invalid
      */
     public Optional<Integer> positiveInteger(String key) {
         return optional(key, SectionReader::positiveNumber);
     }
 
     /**
-     * Reads names separated by commas.
+     * Reads an optional list of names separated by commas.
      *
      * @param key the key
-     * @return the names, empty when absent
+     * @return the names; empty if the key is absent
      */
     public List<String> names(String key) {
         return text(key).map(SectionReader::splitNames).orElse(List.of());
     }
 
-    /** Reports each key of the section that was never asked for. Called last. */
+    /** Adds a finding for each key of the section that was not read. Must be called after all keys were read. */
     public void reportUnknownKeys() {
         section.entries().stream()
-                .filter(e -> !known.contains(e.key()))
-                .forEach(e -> findings.add(e, "unknown key; known here: " + String.join(", ", sorted(known))));
+                .filter(e -> !requestedKeys.contains(e.key()))
+                .forEach(e -> findings.add(e, "unknown key; known here: " + String.join(", ", sorted(requestedKeys))));
     }
 
     /**
-     * Accepts any text but an empty one.
+     * Trims a text and rejects a blank one.
      *
      * @param text the text
-     * @return the text, or what is wrong
+     * @return the trimmed text, or a message that says why it is invalid
      */
     public static Either<String, String> nonEmpty(String text) {
         return text.isBlank() ? Either.left("the value is empty") : Either.right(text.trim());
--- a/core/src/test/java/org/hornbeamhead/core/drain/DrainTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/drain/DrainTest.java
@@ -9,10 +9,10 @@
 import org.testng.annotations.Test;
 
 public class DrainTest {
-    // Callers hold the address for two seconds more. The router serves them, then refuses, then waits for the last
-    // stream.
+    // Callers may use an address answer for two more seconds. The process must accept requests until then, reject new
+    // ones afterwards, and finish only when the last stream has ended.
     @Test
-    public void theListenerStaysUntilAnswersHaveRunOutAndStreamsHaveEnded() {
+    public void requestsAreAcceptedUntilAnswersExpireAndDrainEndsAfterTheLastStream() {
         ManualClock clock = new ManualClock(0);
         DrainSequence drain = new DrainSequence(clock, 2_000);
         drain.leave();
@@ -27,7 +27,7 @@
     }
 
     @Test
-    public void ordersAreKeptWithWhoAndWhy() {
+    public void formattedOrdersKeepAuthorAndReason() {
         DrainOrder order = new DrainOrder("10.0.0.1:80", "ana", 5, "disk | noise\n", "");
         DrainOrders orders = new DrainOrders(List.of()).with(order).with(order);
         assertEquals(orders.orders().size(), 1);
@@ -39,16 +39,16 @@
         assertEquals(ended.orders().get(0).endedBy(), "rui");
     }
 
-    /** Guards against one damaged line that keeps all orders from being read. */
+    /** Guards against one damaged line preventing all orders from being read. */
     @Test
-    public void anOrderWithoutAReadableTimeCounts() {
+    public void orderWithAnInvalidTimeIsInForce() {
         DrainOrders read = DrainOrders.parse("e1|ana|yesterday|disk|\nnonsense\ne2|ana|5|disk|");
         assertTrue(read.isDraining("e1") && read.isDraining("e2"));
         assertEquals(read.orders().get(0).wallMillis(), 0);
     }
 
     @Test
-    public void oldEndedOrdersAreForgottenAndThoseInForceNever() {
+    public void oldestEndedOrdersAreRemovedButOrdersInForceAreKept() {
         DrainOrders orders = new DrainOrders(List.of()).with(new DrainOrder("kept", "a", 0, "r", ""));
         for (int i = 0; i < 1_500; i++) {
             orders = orders.with(new DrainOrder("e" + i, "a", i, "r", "")).withEnded("e" + i, "b");
