--- a/bench/src/main/java/org/hornbeamhead/bench/GossipBench.java
+++ b/bench/src/main/java/org/hornbeamhead/bench/GossipBench.java
@@ -58,7 +58,7 @@
                     MemberStatus.ALIVE));
         }
         listed.forEach(this::open);
-        nodes.values().forEach(n -> n.listed(listed));
+        nodes.values().forEach(n -> n.updateHostList(listed));
     }
 
     private void open(Member self) {
@@ -88,7 +88,7 @@
 
     private void adopt(String peer, long version) {
         if (versions.merge(peer, version, Math::max) == version) {
-            nodes.get(peer).config(version);
+            nodes.get(peer).updateConfigVersion(version);
         }
     }
 
--- a/core/src/main/java/org/hornbeamhead/core/endpoint/EndpointKind.java
+++ b/core/src/main/java/org/hornbeamhead/core/endpoint/EndpointKind.java
@@ -1,11 +1,11 @@
 package org.hornbeamhead.core.endpoint;
 
-/** What stands at an address of the host list. */
+/** The kind of endpoint at an address in the list of hosts. */
 public enum EndpointKind {
     /** A router of this system. */
     ENTRY,
     /** A model engine. */
     ENGINE,
-    /** A plain service. */
+    /** A service that is not a model engine. */
     SERVICE
 }
--- a/core/src/main/java/org/hornbeamhead/core/endpoint/LoadReport.java
+++ b/core/src/main/java/org/hornbeamhead/core/endpoint/LoadReport.java
@@ -1,13 +1,13 @@
 package org.hornbeamhead.core.endpoint;
 
 /**
- * What an engine says of itself, with a lag.
+ * The load reported by an engine, which lags behind its actual state.
  *
- * @param incarnation changes with each start of the engine
+ * @param incarnation identifies one run of the engine; changes with each start
  * @param model the model it serves
  * @param weights the version of the weights it serves
  * @param waitingTokens prompt tokens accepted, not cached, and not yet computed
- * @param running streams being generated
+ * @param running the number of streams being generated
  * @param draining whether the engine refuses new work
  */
 public record LoadReport(
--- a/core/src/main/java/org/hornbeamhead/core/http/BadMessageException.java
+++ b/core/src/main/java/org/hornbeamhead/core/http/BadMessageException.java
@@ -1,16 +1,16 @@
 package org.hornbeamhead.core.http;
 
-/** Bytes that are no message of the protocol, or one that two readers could understand differently. */
+/** Thrown for bytes that are not a valid HTTP message, or that two parsers could interpret differently. */
 public final class BadMessageException extends Exception {
     private static final long serialVersionUID = 1;
 
     private final int status;
 
     /**
-     * Describes the fault.
+     * Creates an exception with a response status.
      *
-     * @param status the status that answers a request of this kind
-     * @param message what is wrong
+     * @param status the status to answer such a request with
+     * @param message the description of the fault
      */
     public BadMessageException(int status, String message) {
         super(message);
@@ -18,7 +18,7 @@
     }
 
     /**
-     * Returns the status that answers a request of this kind.
+     * Returns the status to answer such a request with.
      *
      * @return the status
      */
--- a/core/src/main/java/org/hornbeamhead/core/http/BodyReader.java
+++ b/core/src/main/java/org/hornbeamhead/core/http/BodyReader.java
@@ -2,18 +2,16 @@
 
 import java.io.ByteArrayOutputStream;
 
-/**
- * Finds the end of a body by its length, by its chunks, or by the connection's end, and gives its bytes as they come.
- */
+/** Decodes a message body delimited by its length, by chunks, or by the close of the connection. */
 final class BodyReader {
     private static final int BAD_REQUEST = 400;
-    /** A chunk's length line longer than this carries extensions that nobody here needs. */
+    /** Longer chunk lines carry extensions, none of which are needed here. */
     private static final int MAX_CHUNK_LINE = 256;
 
     private static final int MAX_CHUNK_DIGITS = 7;
     private static final int HEX = 16;
 
-    private enum Part {
+    private enum State {
         LENGTH,
         CHUNK_LINE,
         CHUNK_DATA,
@@ -24,64 +22,64 @@
     }
 
     private final StringBuilder line = new StringBuilder();
-    private Part part;
-    private long left;
+    private State state;
+    private long remaining;
 
-    private BodyReader(Part part, long left) {
-        this.part = left == 0 && part == Part.LENGTH ? Part.DONE : part;
-        this.left = left;
+    private BodyReader(State state, long remaining) {
+        this.state = remaining == 0 && state == State.LENGTH ? State.DONE : state;
+        this.remaining = remaining;
     }
 
     static BodyReader ofLength(long length) {
-        return new BodyReader(Part.LENGTH, length);
+        return new BodyReader(State.LENGTH, length);
     }
 
     static BodyReader chunked() {
-        return new BodyReader(Part.CHUNK_LINE, 0);
+        return new BodyReader(State.CHUNK_LINE, 0);
     }
 
     static BodyReader untilClose() {
-        return new BodyReader(Part.UNTIL_CLOSE, 0);
+        return new BodyReader(State.UNTIL_CLOSE, 0);
     }
 
     boolean done() {
-        return part == Part.DONE;
+        return state == State.DONE;
     }
 
-    boolean endsWithConnection() {
-        return part == Part.UNTIL_CLOSE;
+    boolean endsAtClose() {
+        return state == State.UNTIL_CLOSE;
     }
 
     void feed(Bytes in, ByteArrayOutputStream out) throws BadMessageException {
-        while (in.remaining() > 0 && part != Part.DONE) {
-            switch (part) {
-                case LENGTH -> data(in, out, Part.DONE);
-                case CHUNK_DATA -> data(in, out, Part.CHUNK_END);
+        while (in.remaining() > 0 && state != State.DONE) {
+            switch (state) {
+                case LENGTH -> readData(in, out, State.DONE);
+                case CHUNK_DATA -> readData(in, out, State.CHUNK_END);
                 case UNTIL_CLOSE -> out.writeBytes(in.take(in.remaining()));
-                default -> lineByte((char) (in.next() & 0xff));
+                default -> readLineByte((char) (in.next() & 0xff));
             }
         }
     }
 
-    private void data(Bytes in, ByteArrayOutputStream out, Part after) {
-        int count = (int) Math.min(left, in.remaining());
+    private void readData(Bytes in, ByteArrayOutputStream out, State next) {
+        int count = (int) Math.min(remaining, in.remaining());
         out.writeBytes(in.take(count));
-        left -= count;
-        if (left == 0) {
-            part = after;
+        remaining -= count;
+        if (remaining == 0) {
+            state = next;
         }
     }
 
-    private void lineByte(char c) throws BadMessageException {
+    private void readLineByte(char c) throws BadMessageException {
         int length = line.length();
         if (c == '\n') {
             if (length == 0 || line.charAt(length - 1) != '\r') {
                 throw new BadMessageException(BAD_REQUEST, "a line of the chunked body ends without a carriage return");
             }
             line.setLength(length - 1);
-            String whole = line.toString();
+            String text = line.toString();
             line.setLength(0);
-            lineEnded(whole);
+            handleLine(text);
             return;
         }
         if (length > 0 && line.charAt(length - 1) == '\r') {
@@ -93,19 +91,19 @@
         line.append(c);
     }
 
-    private void lineEnded(String text) throws BadMessageException {
-        switch (part) {
+    private void handleLine(String text) throws BadMessageException {
+        switch (state) {
             case CHUNK_LINE -> {
-                left = chunkLength(text);
-                part = left == 0 ? Part.TRAILER : Part.CHUNK_DATA;
+                remaining = chunkLength(text);
+                state = remaining == 0 ? State.TRAILER : State.CHUNK_DATA;
             }
             case CHUNK_END -> {
                 if (!text.isEmpty()) {
                     throw new BadMessageException(BAD_REQUEST, "a chunk is longer than it says");
                 }
-                part = Part.CHUNK_LINE;
+                state = State.CHUNK_LINE;
             }
-            default -> part = text.isEmpty() ? Part.DONE : Part.TRAILER;
+            default -> state = text.isEmpty() ? State.DONE : State.TRAILER;
         }
     }
 
--- a/core/src/main/java/org/hornbeamhead/core/http/Bytes.java
+++ b/core/src/main/java/org/hornbeamhead/core/http/Bytes.java
@@ -2,18 +2,18 @@
 
 import java.util.Arrays;
 
-/** A range of bytes that readers use up from its beginning. */
+/** A byte range that readers consume from its start. */
 public final class Bytes {
     private final byte[] array;
     private int from;
     private final int to;
 
     /**
-     * Takes a range.
+     * Creates a view of a part of an array.
      *
      * @param array the bytes; not copied
-     * @param from the first
-     * @param to behind the last
+     * @param from the index of the first byte
+     * @param to the index after the last byte
      */
     public Bytes(byte[] array, int from, int to) {
         this.array = array;
@@ -22,29 +22,29 @@
     }
 
     /**
-     * Takes a whole array.
+     * Creates a view of a whole array.
      *
      * @param array the bytes; not copied
-     * @return the range
+     * @return the view
      */
     public static Bytes of(byte[] array) {
         return new Bytes(array, 0, array.length);
     }
 
     /**
-     * Counts what is left.
+     * Returns the number of unconsumed bytes.
      *
-     * @return the bytes
+     * @return the number of bytes
      */
     public int remaining() {
         return to - from;
     }
 
     /**
-     * Uses up bytes.
+     * Consumes bytes.
      *
-     * @param count how many
-     * @return a copy of them
+     * @param count the number of bytes
+     * @return a copy of the consumed bytes
      */
     public byte[] take(int count) {
         byte[] taken = Arrays.copyOfRange(array, from, from + count);
--- a/core/src/main/java/org/hornbeamhead/core/http/HeadReader.java
+++ b/core/src/main/java/org/hornbeamhead/core/http/HeadReader.java
@@ -4,7 +4,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads start lines and header lines strictly, so that no other reader can see another message in the same bytes. */
+/**
+ * Parses start lines and header lines strictly, so that no other parser can see a different message in the same bytes.
+ */
 final class HeadReader {
     private static final int BAD_REQUEST = 400;
     private static final int TOO_LARGE = 431;
@@ -18,7 +20,7 @@
         this.maxBytes = maxBytes;
     }
 
-    /** Adds bytes; gives the lines of the head once its end has come, null before. */
+    /** Consumes bytes. Returns the lines of the head once it is complete, or null until then. */
     List<String> feed(Bytes in) throws BadMessageException {
         int before = pending.length;
         byte[] joined = new byte[before + in.remaining()];
@@ -30,21 +32,21 @@
             in.skip(in.remaining());
             pending = joined;
             scanned = Math.max(0, joined.length - 3);
-            limit(joined.length - start);
+            checkSize(joined.length - start);
             return null;
         }
-        limit(end - start);
+        checkSize(end - start);
         in.skip(end - before);
         pending = EMPTY;
         scanned = 0;
         return lines(joined, start, end - 2);
     }
 
-    boolean started() {
+    boolean hasPartialHead() {
         return pending.length > 0;
     }
 
-    private void limit(int bytes) throws BadMessageException {
+    private void checkSize(int bytes) throws BadMessageException {
         if (bytes > maxBytes) {
             throw new BadMessageException(TOO_LARGE, "the head has more than " + maxBytes + " bytes");
         }
@@ -84,28 +86,28 @@
     }
 
     static Headers headers(List<String> lines) throws BadMessageException {
-        List<Header> read = new ArrayList<>(lines.size());
+        List<Header> parsed = new ArrayList<>(lines.size());
         for (String line : lines) {
             int colon = line.indexOf(':');
-            if (colon <= 0 || !token(line, colon)) {
+            if (colon <= 0 || !isToken(line, colon)) {
                 throw new BadMessageException(BAD_REQUEST, "a header line has no proper name");
             }
-            read.add(new Header(
+            parsed.add(new Header(
                     line.substring(0, colon), line.substring(colon + 1).trim()));
         }
-        return new Headers(read);
+        return new Headers(parsed);
     }
 
-    private static boolean token(String s, int end) {
+    private static boolean isToken(String s, int end) {
         for (int i = 0; i < end; i++) {
-            if (!tokenChar(s.charAt(i))) {
+            if (!isTokenChar(s.charAt(i))) {
                 return false;
             }
         }
         return true;
     }
 
-    static boolean tokenChar(char c) {
+    static boolean isTokenChar(char c) {
         return (c >= 'a' && c <= 'z')
                 || (c >= 'A' && c <= 'Z')
                 || (c >= '0' && c <= '9')
--- a/core/src/main/java/org/hornbeamhead/core/http/Header.java
+++ b/core/src/main/java/org/hornbeamhead/core/http/Header.java
@@ -1,9 +1,9 @@
 package org.hornbeamhead.core.http;
 
 /**
- * A header line.
+ * A header field.
  *
- * @param name the name as it was written
- * @param value the value without surrounding blanks
+ * @param name the name in its original case
+ * @param value the value without surrounding whitespace
  */
 public record Header(String name, String value) {}
--- a/core/src/main/java/org/hornbeamhead/core/http/Headers.java
+++ b/core/src/main/java/org/hornbeamhead/core/http/Headers.java
@@ -12,15 +12,15 @@
 import java.util.stream.Stream;
 
 /**
- * The header lines of a message in their order, names compared without case.
+ * The header fields of a message in their original order. Names are case-insensitive.
  *
- * @param lines the lines
+ * @param lines the header fields
  */
 public record Headers(List<Header> lines) {
-    /** No lines. */
+    /** Headers without any fields. */
     public static final Headers NONE = new Headers(List.of());
 
-    private static final Set<String> OF_ONE_CONNECTION = Set.of(
+    private static final Set<String> HOP_BY_HOP = Set.of(
             "connection",
             "keep-alive",
             "proxy-authenticate",
@@ -35,16 +35,16 @@
 
     private static final int MAX_DIGITS = 15;
 
-    /** Copies the lines, so that they cannot change. */
+    /** Makes an immutable copy of the fields. */
     public Headers {
         lines = List.copyOf(lines);
     }
 
     /**
-     * Finds the first line of a name.
+     * Returns the value of the first field with a name.
      *
      * @param name the name
-     * @return its value
+     * @return the value, empty when absent
      */
     public Optional<String> first(String name) {
         return lines.stream()
@@ -54,10 +54,10 @@
     }
 
     /**
-     * Lists the values of all lines of a name.
+     * Returns the values of all fields with a name.
      *
      * @param name the name
-     * @return the values in their order
+     * @return the values in order
      */
     public List<String> all(String name) {
         return lines.stream()
@@ -67,10 +67,10 @@
     }
 
     /**
-     * Reads a whole number.
+     * Returns the value of a field as a non-negative integer.
      *
      * @param name the name
-     * @return the number, empty when absent or not made of digits alone
+     * @return the number, empty when absent, longer than 15 digits, or not made of digits only
      */
     public OptionalLong number(String name) {
         return first(name).map(Headers::digits).orElse(OptionalLong.empty());
@@ -83,35 +83,35 @@
     }
 
     /**
-     * Tells whether a list in a header holds a word.
+     * Returns whether a comma-separated header contains a token.
      *
-     * @param name the header
-     * @param word the word, in lower case
-     * @return true when it stands there
+     * @param name the header name
+     * @param token the token, in lower case
+     * @return true if the header contains the token
      */
-    public boolean listed(String name, String word) {
-        return all(name).stream().flatMap(Headers::words).anyMatch(word::equals);
+    public boolean containsToken(String name, String token) {
+        return all(name).stream().flatMap(Headers::tokens).anyMatch(token::equals);
     }
 
-    private static Stream<String> words(String value) {
+    private static Stream<String> tokens(String value) {
         return Arrays.stream(value.split(",", -1)).map(w -> w.trim().toLowerCase(Locale.ROOT));
     }
 
     /**
-     * Leaves out what concerns one connection only: the usual names and those that {@code Connection} lists.
+     * Removes the hop-by-hop fields: the standard ones and those that {@code Connection} lists.
      *
-     * @return the lines that are passed on
+     * @return the end-to-end headers
      */
     public Headers endToEnd() {
-        Set<String> listed = all("Connection").stream().flatMap(Headers::words).collect(Collectors.toSet());
-        return without(name -> OF_ONE_CONNECTION.contains(name) || listed.contains(name));
+        Set<String> listed = all("Connection").stream().flatMap(Headers::tokens).collect(Collectors.toSet());
+        return without(name -> HOP_BY_HOP.contains(name) || listed.contains(name));
     }
 
     /**
-     * Leaves out lines by their names.
+     * Removes fields by name.
      *
-     * @param unwanted tells of a name in lower case whether it is left out
-     * @return the other lines
+     * @param unwanted returns whether to remove the field with the given name, which is in lower case
+     * @return the remaining headers
      */
     public Headers without(Predicate<String> unwanted) {
         return new Headers(lines.stream()
@@ -120,15 +120,15 @@
     }
 
     /**
-     * Adds a line at the end.
+     * Appends a field.
      *
      * @param name the name
      * @param value the value
-     * @return the longer headers
+     * @return the extended headers
      */
     public Headers with(String name, String value) {
-        List<Header> longer = new ArrayList<>(lines);
-        longer.add(new Header(name, value));
-        return new Headers(longer);
+        List<Header> extended = new ArrayList<>(lines);
+        extended.add(new Header(name, value));
+        return new Headers(extended);
     }
 }
--- a/core/src/main/java/org/hornbeamhead/core/http/RequestHead.java
+++ b/core/src/main/java/org/hornbeamhead/core/http/RequestHead.java
@@ -1,16 +1,16 @@
 package org.hornbeamhead.core.http;
 
 /**
- * The head of a request.
+ * The request line and headers of a request.
  *
  * @param method the method
- * @param target the path with its query, byte for byte
- * @param headers the header lines
+ * @param target the unmodified request target, a path with an optional query
+ * @param headers the headers
  * @param keepAlive whether the caller may send further requests on the connection
  */
 public record RequestHead(String method, String target, Headers headers, boolean keepAlive) {
     /**
-     * Returns the path.
+     * Returns the path of the request target.
      *
      * @return the target without its query
      */
--- a/core/src/main/java/org/hornbeamhead/core/http/RequestReader.java
+++ b/core/src/main/java/org/hornbeamhead/core/http/RequestReader.java
@@ -5,11 +5,11 @@
 import java.util.Optional;
 
 /**
- * Reads requests out of the bytes of one connection.
+ * Incremental parser for the requests of one connection.
  *
- * <p>Failure: two lengths, a length beside chunks, or a line end that only some accept let a caller hide a second
- * request inside a body. Symptom: a replica runs a request that no caller sent. Each such message is refused here, and
- * what is sent on carries one length that was counted here.
+ * <p>Guards against request smuggling: two lengths, a length together with chunked coding, or a line ending that only
+ * some parsers accept let a caller hide a second request inside a body, and a replica would run a request that no
+ * caller sent. Such messages are rejected, and forwarded requests carry a single length counted here.
  */
 public final class RequestReader {
     private static final int BAD_REQUEST = 400;
@@ -18,32 +18,32 @@
     private static final int VERSION_NOT_SUPPORTED = 505;
 
     private final int maxBodyBytes;
-    private final HeadReader heads;
+    private final HeadReader headReader;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream(0);
     private RequestHead head;
     private BodyReader framing;
 
     /**
-     * Makes a reader for one connection.
+     * Creates a reader for one connection.
      *
-     * @param maxHeadBytes the longest head
-     * @param maxBodyBytes the longest body
+     * @param maxHeadBytes the maximum size of a head in bytes
+     * @param maxBodyBytes the maximum size of a body in bytes
      */
     public RequestReader(int maxHeadBytes, int maxBodyBytes) {
-        this.heads = new HeadReader(maxHeadBytes);
+        this.headReader = new HeadReader(maxHeadBytes);
         this.maxBodyBytes = maxBodyBytes;
     }
 
     /**
-     * Reads on.
+     * Parses further bytes.
      *
-     * @param in the bytes; those after the request's end are left in it
-     * @return the request once it is whole
-     * @throws BadMessageException when the bytes are no request, or one too large; the connection is of no use after it
+     * @param in the bytes; those after the end of the request are not consumed
+     * @return the request, empty until it is complete
+     * @throws BadMessageException if the request is malformed or too large; the connection cannot be used afterwards
      */
     public Optional<WholeRequest> feed(Bytes in) throws BadMessageException {
         if (head == null) {
-            List<String> lines = heads.feed(in);
+            List<String> lines = headReader.feed(in);
             if (lines == null) {
                 return Optional.empty();
             }
@@ -57,21 +57,21 @@
     }
 
     /**
-     * Tells whether a part of a request has come.
+     * Returns whether a part of a request has been read.
      *
      * @return true between the first byte of a head and the end of its body
      */
     public boolean insideRequest() {
-        return head != null || heads.started();
+        return head != null || headReader.hasPartialHead();
     }
 
     /**
-     * Tells whether the caller waits for leave to send the body.
+     * Returns whether the caller waits for an interim response before it sends the body.
      *
-     * @return true after a head that says so
+     * @return true after a head with {@code Expect: 100-continue}
      */
-    public boolean awaitsContinue() {
-        return head != null && head.headers().listed("Expect", "100-continue");
+    public boolean expectsContinue() {
+        return head != null && head.headers().containsToken("Expect", "100-continue");
     }
 
     private WholeRequest finish() {
@@ -84,12 +84,12 @@
 
     private void readHead(List<String> lines) throws BadMessageException {
         String[] start = lines.get(0).split(" ", -1);
-        boolean proper = start.length == 3
+        boolean valid = start.length == 3
                 && !start[0].isEmpty()
-                && start[0].chars().allMatch(c -> HeadReader.tokenChar((char) c))
+                && start[0].chars().allMatch(c -> HeadReader.isTokenChar((char) c))
                 && start[1].startsWith("/")
                 && start[1].chars().allMatch(c -> c > ' ' && c < 127);
-        if (!proper) {
+        if (!valid) {
             throw new BadMessageException(BAD_REQUEST, "the first line is no request");
         }
         if (!start[2].equals("HTTP/1.1") && !start[2].equals("HTTP/1.0")) {
@@ -100,10 +100,10 @@
             throw new BadMessageException(BAD_REQUEST, "there is not exactly one Host line");
         }
         framing = framing(headers);
-        boolean keep = start[2].equals("HTTP/1.1")
-                ? !headers.listed("Connection", "close")
-                : headers.listed("Connection", "keep-alive");
-        head = new RequestHead(start[0], start[1], headers, keep);
+        boolean keepAlive = start[2].equals("HTTP/1.1")
+                ? !headers.containsToken("Connection", "close")
+                : headers.containsToken("Connection", "keep-alive");
+        head = new RequestHead(start[0], start[1], headers, keepAlive);
     }
 
     private BodyReader framing(Headers headers) throws BadMessageException {
--- a/core/src/main/java/org/hornbeamhead/core/http/ResponseHead.java
+++ b/core/src/main/java/org/hornbeamhead/core/http/ResponseHead.java
@@ -1,10 +1,10 @@
 package org.hornbeamhead.core.http;
 
 /**
- * The head of a response.
+ * The status line and headers of a response.
  *
- * @param status the status
- * @param headers the header lines
+ * @param status the status code
+ * @param headers the headers
  * @param keepAlive whether the server keeps the connection for further requests
  */
 public record ResponseHead(int status, Headers headers, boolean keepAlive) {
@@ -12,9 +12,9 @@
     private static final int OK_TO = 300;
 
     /**
-     * Tells whether the request succeeded.
+     * Returns whether the request succeeded.
      *
-     * @return true for the 2xx statuses
+     * @return true for the 2xx status codes
      */
     public boolean ok() {
         return status >= OK_FROM && status < OK_TO;
--- a/core/src/main/java/org/hornbeamhead/core/http/ResponseReader.java
+++ b/core/src/main/java/org/hornbeamhead/core/http/ResponseReader.java
@@ -4,10 +4,10 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Reads one response out of the bytes of a connection. */
+/** Incremental parser for one response of a connection. */
 public final class ResponseReader {
     private static final int BAD_GATEWAY = 502;
-    /** Replicas send heads of some hundred bytes; anything much longer is no head. */
+    /** Replicas send heads of a few hundred bytes; anything much longer is not a valid head. */
     private static final int MAX_HEAD_BYTES = 32_768;
 
     private static final int NO_CONTENT = 204;
@@ -16,12 +16,12 @@
     private static final int STATUS_DIGITS = 3;
 
     private final boolean bodiless;
-    private final HeadReader heads = new HeadReader(MAX_HEAD_BYTES);
+    private final HeadReader headReader = new HeadReader(MAX_HEAD_BYTES);
     private ResponseHead head;
     private BodyReader framing;
 
     /**
-     * Makes a reader.
+     * Creates a reader for the response to one request.
      *
      * @param method the request's method; a response to HEAD has no body
      */
@@ -30,15 +30,15 @@
     }
 
     /**
-     * Reads on.
+     * Parses further bytes.
      *
-     * @param in the bytes; those after the response's end are left in it
-     * @return the bytes of the body that came, none before the head is whole
-     * @throws BadMessageException when the bytes are no response
+     * @param in the bytes; those after the end of the response are not consumed
+     * @return the decoded body bytes, empty until the head is complete
+     * @throws BadMessageException if the bytes are not a valid response
      */
     public byte[] feed(Bytes in) throws BadMessageException {
         while (head == null) {
-            List<String> lines = heads.feed(in);
+            List<String> lines = headReader.feed(in);
             if (lines == null) {
                 return new byte[0];
             }
@@ -51,9 +51,9 @@
 
     private void readHead(List<String> lines) throws BadMessageException {
         String start = lines.get(0);
-        boolean proper = start.startsWith("HTTP/1.") && start.length() >= 12 && start.charAt(8) == ' ';
-        String digits = proper ? start.substring(9, 9 + STATUS_DIGITS) : "";
-        if (!proper || !digits.chars().allMatch(c -> c >= '0' && c <= '9')) {
+        boolean valid = start.startsWith("HTTP/1.") && start.length() >= 12 && start.charAt(8) == ' ';
+        String digits = valid ? start.substring(9, 9 + STATUS_DIGITS) : "";
+        if (!valid || !digits.chars().allMatch(c -> c >= '0' && c <= '9')) {
             throw new BadMessageException(BAD_GATEWAY, "the first line is no response");
         }
         int status = Integer.parseInt(digits);
@@ -62,16 +62,16 @@
             return;
         }
         framing = framing(status, headers);
-        boolean keep =
-                start.startsWith("HTTP/1.1") && !headers.listed("Connection", "close") && !framing.endsWithConnection();
-        head = new ResponseHead(status, headers, keep);
+        boolean keepAlive =
+                start.startsWith("HTTP/1.1") && !headers.containsToken("Connection", "close") && !framing.endsAtClose();
+        head = new ResponseHead(status, headers, keepAlive);
     }
 
     private BodyReader framing(int status, Headers headers) throws BadMessageException {
         if (bodiless || status == NO_CONTENT || status == NOT_MODIFIED) {
             return BodyReader.ofLength(0);
         }
-        if (headers.listed("Transfer-Encoding", "chunked")) {
+        if (headers.containsToken("Transfer-Encoding", "chunked")) {
             return BodyReader.chunked();
         }
         List<String> lengths = headers.all("Content-Length");
@@ -86,16 +86,16 @@
     }
 
     /**
-     * Returns the head.
+     * Returns the response head.
      *
-     * @return the head, empty until it is whole
+     * @return the head, empty until it is complete
      */
     public Optional<ResponseHead> head() {
         return Optional.ofNullable(head);
     }
 
     /**
-     * Tells whether the response is whole.
+     * Returns whether the response is complete.
      *
      * @return true after the last byte of its body
      */
@@ -104,11 +104,11 @@
     }
 
     /**
-     * Tells whether the orderly end of the connection makes the response whole.
+     * Returns whether an orderly close of the connection ends the response.
      *
-     * @return true for a body without a length
+     * @return true for a body that is neither chunked nor has a length
      */
-    public boolean endsWithConnection() {
-        return framing != null && framing.endsWithConnection();
+    public boolean endsAtClose() {
+        return framing != null && framing.endsAtClose();
     }
 }
--- a/core/src/main/java/org/hornbeamhead/core/http/WholeRequest.java
+++ b/core/src/main/java/org/hornbeamhead/core/http/WholeRequest.java
@@ -1,6 +1,6 @@
 package org.hornbeamhead.core.http;
 
-/** A request that has come whole. */
+/** A complete request. */
 public final class WholeRequest {
     private final RequestHead head;
     private final byte[] body;
@@ -11,7 +11,7 @@
     }
 
     /**
-     * Returns the head.
+     * Returns the request head.
      *
      * @return the head
      */
@@ -22,7 +22,7 @@
     /**
      * Returns the body.
      *
-     * @return the bytes, without their framing; not copied
+     * @return the decoded body bytes; not copied
      */
     public byte[] body() {
         return body;
--- a/core/src/main/java/org/hornbeamhead/core/membership/GossipLimits.java
+++ b/core/src/main/java/org/hornbeamhead/core/membership/GossipLimits.java
@@ -1,23 +1,29 @@
 package org.hornbeamhead.core.membership;
 
 /**
- * The pace of gossip. Costs per node do not depend on the size of the fleet, but for the logarithm in how often news is
- * passed on.
+ * Timing and fan-out of gossip. The cost per node is independent of the fleet size, except that the number of times an
+ * update is sent grows with its logarithm.
  *
  * @param periodMillis the time between two probes by one node, in milliseconds
- * @param ackMillis how long a direct answer may take before others are asked to probe, in milliseconds
- * @param suspectPeriods periods that a suspect has to refute
- * @param indirect how many others are asked to probe
- * @param fanout how many peers are told of a new configuration at once
+ * @param ackTimeoutMillis how long to wait for a direct answer before requesting indirect probes, in milliseconds
+ * @param suspectPeriods the number of periods in which a suspect can refute the suspicion
+ * @param indirectProbes the number of peers asked to probe indirectly
+ * @param fanout the number of peers notified immediately of a new configuration
  */
-public record GossipLimits(long periodMillis, long ackMillis, int suspectPeriods, int indirect, int fanout) {
-    /** One probe a second; a dead member is out after about four to six seconds. */
+public record GossipLimits(
+        long periodMillis, long ackTimeoutMillis, int suspectPeriods, int indirectProbes, int fanout) {
+    /** One probe a second; a dead member is marked dead after about four to six seconds. */
     public static final GossipLimits STANDARD = new GossipLimits(1_000, 300, 3, 2, 3);
 
-    /** Checks the numbers. */
+    /** Validates the values. */
     public GossipLimits {
-        if (periodMillis <= ackMillis || ackMillis <= 0 || suspectPeriods <= 0 || indirect < 0 || fanout <= 0) {
-            throw new IllegalArgumentException("limits out of range");
+        if (periodMillis <= ackTimeoutMillis
+                || ackTimeoutMillis <= 0
+                || suspectPeriods <= 0
+                || indirectProbes < 0
+                || fanout <= 0) {
+            throw new IllegalArgumentException(
+                    "gossip limits must be positive, with a period longer than the acknowledgement timeout");
         }
     }
 }
--- a/core/src/main/java/org/hornbeamhead/core/membership/GossipListener.java
+++ b/core/src/main/java/org/hornbeamhead/core/membership/GossipListener.java
@@ -1,15 +1,15 @@
 package org.hornbeamhead.core.membership;
 
-/** Hears of what gossip brings. */
+/** Receives notifications of changes learned through gossip. */
 public interface GossipListener {
-    /** The set of members that serve, or their status, has changed. */
+    /** Called when the set of members or the status of one of them has changed. */
     void membersChanged();
 
     /**
-     * A peer has a newer configuration.
+     * Called when a peer has a newer configuration.
      *
-     * @param peerAddress where to fetch it
-     * @param version its version
+     * @param peerAddress the address to fetch it from
+     * @param version the version at that peer
      */
     void newerConfig(String peerAddress, long version);
 }
--- a/core/src/main/java/org/hornbeamhead/core/membership/GossipMessage.java
+++ b/core/src/main/java/org/hornbeamhead/core/membership/GossipMessage.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * A datagram between routers.
+ * A gossip datagram between routers.
  *
- * @param kind what is asked or answered
- * @param sequence matches an answer with its question
- * @param sender the sender, as it sees itself
+ * @param kind the message kind
+ * @param sequence correlates an acknowledgement with its probe
+ * @param sender the sender's own member record
  * @param target for {@link Kind#PROBE_FOR_ME}: the peer address to be probed; else empty
  * @param configVersion the version of the configuration in force at the sender
- * @param updates news of members, at most {@link GossipNode#UPDATES_PER_MESSAGE}
+ * @param updates member updates, at most {@link GossipNode#UPDATES_PER_MESSAGE}
  */
 public record GossipMessage(
         Kind kind, long sequence, Member sender, String target, long configVersion, List<Member> updates) {
@@ -18,15 +18,15 @@
     public enum Kind {
         /** Asks for an {@link #ACK}. */
         PROBE,
-        /** Answers a probe. */
+        /** Acknowledges a probe. */
         ACK,
-        /** Asks the receiver to probe the target and to pass its answer on. */
+        /** Asks the receiver to probe the target and to forward its acknowledgement. */
         PROBE_FOR_ME,
-        /** Tells news, and asks for nothing. */
+        /** Carries updates and requires no answer. */
         NEWS
     }
 
-    /** Copies the updates, so that the message cannot change. */
+    /** Makes an immutable copy of the updates. */
     public GossipMessage {
         updates = List.copyOf(updates);
     }
--- a/core/src/main/java/org/hornbeamhead/core/membership/GossipNode.java
+++ b/core/src/main/java/org/hornbeamhead/core/membership/GossipNode.java
@@ -13,20 +13,20 @@
 import org.hornbeamhead.core.time.Timers;
 
 /**
- * One router's part in the membership of routers: it probes one peer a period, asks others before it suspects, and
- * passes news on with the probes. Each message carries the version of the configuration, so that versions spread the
- * same way.
+ * The gossip membership protocol of one router. It probes one peer per period, requests indirect probes before it
+ * suspects the peer, and piggybacks member updates on its messages. Each message also carries the configuration
+ * version, so that new versions spread the same way.
  *
- * <p>Members come from the platform's list of hosts, which lags, and from one another. A member believed dead is still
- * probed now and then, so that two regions that lost each other for an hour find together again by themselves.
+ * <p>Members are learned from the platform's list of hosts, which lags, and from other members. Dead members are still
+ * probed periodically, so that two regions rejoin by themselves after a network partition of an hour.
  *
- * <p>Owned by one thread. Nothing that must be safe rests on this belief.
+ * <p>Confined to one thread. Membership is a best-effort view; no safety property may depend on it.
  */
 public final class GossipNode {
-    /** The most news a message carries, which keeps it well below a datagram. */
+    /** The maximum number of updates in a message, which keeps it well below the size limit of a datagram. */
     public static final int UPDATES_PER_MESSAGE = 6;
 
-    private static final int DEAD_PROBE_EVERY = 5;
+    private static final int DEAD_PROBE_PERIODS = 5;
 
     private record Probe(long sequence, String target) {}
 
@@ -38,25 +38,25 @@
     private final GossipListener listener;
     private final Map<String, Member> members = new HashMap<>();
     private final Map<String, Long> suspectedAtMillis = new HashMap<>();
-    private final Map<Long, GossipMessage> relayed = new HashMap<>();
-    private final NewsQueue news = new NewsQueue();
-    private final List<String> round = new ArrayList<>();
+    private final Map<Long, GossipMessage> relayedProbes = new HashMap<>();
+    private final UpdateQueue updateQueue = new UpdateQueue();
+    private final List<String> probeRound = new ArrayList<>();
     private Member self;
     private long configVersion;
     private long nextSequence;
     private long periods;
-    private Optional<Probe> open = Optional.empty();
+    private Optional<Probe> pendingProbe = Optional.empty();
 
     /**
-     * Makes a node that knows only itself.
+     * Creates a node that knows only itself.
      *
-     * @param self the node's own member, starting
+     * @param self the node's own member record, with its initial status
      * @param clock the clock
-     * @param timers runs the node's waits
-     * @param random chooses peers
-     * @param limits the pace
+     * @param timers schedules periods and timeouts
+     * @param random the random source for choosing peers
+     * @param limits the timing and fan-out
      * @param transport sends datagrams
-     * @param listener hears of changes
+     * @param listener is notified of changes
      */
     public GossipNode(
             Member self,
@@ -75,18 +75,21 @@
         this.listener = listener;
     }
 
-    /** Starts the periods, the first after a part of one, so that a herd of nodes does not beat together. */
+    /**
+     * Starts the periodic probes. The first comes after a random part of a period, so that nodes started together do
+     * not probe in step.
+     */
     public void start() {
-        timers.schedule(random.nextLong(limits.periodMillis()) + 1, this::period);
+        timers.schedule(random.nextLong(limits.periodMillis()) + 1, this::runPeriod);
     }
 
     /**
-     * Takes over the list of hosts. Unknown ones are taken for alive until a probe tells otherwise; ones that are
-     * neither listed nor alive are forgotten.
+     * Merges the list of hosts. Unknown hosts are added with their listed status; dead members that are no longer
+     * listed are removed.
      *
-     * @param listed the other routers, as the list gives them
+     * @param listed the routers in the list of hosts
      */
-    public void listed(Collection<Member> listed) {
+    public void updateHostList(Collection<Member> listed) {
         List<String> names = listed.stream().map(Member::peerAddress).toList();
         boolean gone =
                 members.values().removeIf(m -> m.status() == MemberStatus.DEAD && !names.contains(m.peerAddress()));
@@ -100,131 +103,131 @@
     }
 
     /**
-     * Tells the others that this node serves.
+     * Changes this node from starting to alive and announces it to other members.
      *
-     * <p>Failure: a replaced host stands in the list before its process has a configuration, and is named to callers.
-     * Symptom: refusals after each restart. A node is named only after it has said itself that it serves.
+     * <p>A replaced host is listed before its process has a configuration. Announcing it to callers at that point would
+     * cause refusals after each restart, so a node is announced only after it reports itself that it serves.
      */
-    public void serve() {
+    public void startServing() {
         if (self.status() == MemberStatus.STARTING) {
-            self = self.with(MemberStatus.ALIVE);
-            news.add(self);
-            spreadNews();
+            self = self.withStatus(MemberStatus.ALIVE);
+            updateQueue.add(self);
+            broadcastUpdates();
             listener.membersChanged();
         }
     }
 
-    /** Tells the others that this node is being shut down gracefully. */
+    /** Announces to other members that this node is shutting down gracefully. */
     public void leave() {
         self = new Member(self.peerAddress(), self.address(), self.incarnation() + 1, MemberStatus.LEAVING);
-        spreadNews();
+        broadcastUpdates();
     }
 
     /**
-     * Notes the version of the configuration in force here, and tells a few peers at once when it is new.
+     * Records the version of the configuration in force here and, if it is newer, notifies a few peers immediately.
      *
      * @param version the version
      */
-    public void config(long version) {
+    public void updateConfigVersion(long version) {
         if (version > configVersion) {
             configVersion = version;
-            spreadNews();
+            broadcastUpdates();
         }
     }
 
-    private void spreadNews() {
+    private void broadcastUpdates() {
         shuffled(reachable()).stream().limit(limits.fanout()).forEach(p -> send(p, GossipMessage.Kind.NEWS, 0, ""));
     }
 
     /**
-     * Takes in a message.
+     * Processes a received message.
      *
      * @param message the message
      */
     public void receive(GossipMessage message) {
-        learn(message.sender());
-        message.updates().forEach(this::learn);
-        answer(message);
+        applyUpdate(message.sender());
+        message.updates().forEach(this::applyUpdate);
+        handleKind(message);
         if (message.configVersion() > configVersion) {
             listener.newerConfig(message.sender().peerAddress(), message.configVersion());
         }
     }
 
-    private void answer(GossipMessage message) {
+    private void handleKind(GossipMessage message) {
         String from = message.sender().peerAddress();
         switch (message.kind()) {
             case PROBE -> {
-                tellOfSuspicion(message.sender());
+                queueKnownStatus(message.sender());
                 send(from, GossipMessage.Kind.ACK, message.sequence(), "");
             }
-            case ACK -> acknowledged(message);
-            case PROBE_FOR_ME -> probeFor(message);
+            case ACK -> handleAck(message);
+            case PROBE_FOR_ME -> relayProbe(message);
             case NEWS -> replyToNews(message);
         }
     }
 
     /**
-     * Failure: after an hour's cut both sides hold the other for dead, and the news of it has long run its course.
-     * Symptom: each answers the other's probes and still names it to no caller. A sender that is believed to be gone is
-     * told so again, with the answer, and refutes.
+     * Queues the known status of the sender if it is worse than the sender's own, so that the sender can refute it.
+     * After a partition of an hour both sides regard each other as dead and no longer send updates about it; they would
+     * answer each other's probes and still not announce each other to callers.
      */
-    private void tellOfSuspicion(Member sender) {
+    private void queueKnownStatus(Member sender) {
         Member known = members.get(sender.peerAddress());
         if (known != null && known.status().compareTo(sender.status()) > 0) {
-            news.addFirst(known);
+            updateQueue.addFirst(known);
         }
     }
 
-    /** Answers news with news when the sender is behind, so that a version spreads both ways. */
+    /** Replies when the sender has an older configuration version, so that versions spread in both directions. */
     private void replyToNews(GossipMessage message) {
         if (message.configVersion() < configVersion) {
             send(message.sender().peerAddress(), GossipMessage.Kind.NEWS, 0, "");
         }
     }
 
-    private void acknowledged(GossipMessage message) {
-        open.filter(p -> p.sequence() == message.sequence()).ifPresent(p -> open = Optional.empty());
-        GossipMessage asked = relayed.remove(message.sequence());
-        if (asked != null) {
-            send(asked.sender().peerAddress(), GossipMessage.Kind.ACK, asked.sequence(), "");
+    private void handleAck(GossipMessage message) {
+        pendingProbe.filter(p -> p.sequence() == message.sequence()).ifPresent(p -> pendingProbe = Optional.empty());
+        GossipMessage request = relayedProbes.remove(message.sequence());
+        if (request != null) {
+            send(request.sender().peerAddress(), GossipMessage.Kind.ACK, request.sequence(), "");
         }
     }
 
-    private void probeFor(GossipMessage asked) {
+    private void relayProbe(GossipMessage request) {
         long sequence = nextSequence++;
-        relayed.put(sequence, asked);
-        send(asked.target(), GossipMessage.Kind.PROBE, sequence, "");
-        timers.schedule(limits.periodMillis(), () -> relayed.remove(sequence));
+        relayedProbes.put(sequence, request);
+        send(request.target(), GossipMessage.Kind.PROBE, sequence, "");
+        timers.schedule(limits.periodMillis(), () -> relayedProbes.remove(sequence));
     }
 
-    private void period() {
-        timers.schedule(limits.periodMillis(), this::period);
+    private void runPeriod() {
+        timers.schedule(limits.periodMillis(), this::runPeriod);
         periods++;
-        open.ifPresent(p -> suspect(p.target()));
-        open = Optional.empty();
-        buryUnrefuted();
+        pendingProbe.ifPresent(p -> suspect(p.target()));
+        pendingProbe = Optional.empty();
+        markExpiredSuspectsDead();
         nextTarget().ifPresent(this::probe);
     }
 
     private void probe(String target) {
         Probe probe = new Probe(nextSequence++, target);
-        open = Optional.of(probe);
+        pendingProbe = Optional.of(probe);
         send(target, GossipMessage.Kind.PROBE, probe.sequence(), "");
-        timers.schedule(limits.ackMillis(), () -> askOthers(probe));
+        timers.schedule(limits.ackTimeoutMillis(), () -> requestIndirectProbes(probe));
     }
 
-    private void askOthers(Probe probe) {
-        if (!open.equals(Optional.of(probe))) {
+    private void requestIndirectProbes(Probe probe) {
+        if (!pendingProbe.equals(Optional.of(probe))) {
             return;
         }
         shuffled(reachable()).stream()
                 .filter(o -> !o.equals(probe.target()))
-                .limit(limits.indirect())
+                .limit(limits.indirectProbes())
                 .forEach(o -> send(o, GossipMessage.Kind.PROBE_FOR_ME, probe.sequence(), probe.target()));
     }
 
     private Optional<String> nextTarget() {
-        if (periods % DEAD_PROBE_EVERY == 0) {
+        if (periods % DEAD_PROBE_PERIODS == 0) {
             List<String> dead = members.values().stream()
                     .filter(m -> m.status() == MemberStatus.DEAD)
                     .map(Member::peerAddress)
@@ -234,61 +237,65 @@
                 return Optional.of(dead.get(random.nextInt(dead.size())));
             }
         }
-        if (round.isEmpty()) {
-            round.addAll(shuffled(reachable()));
+        if (probeRound.isEmpty()) {
+            probeRound.addAll(shuffled(reachable()));
         }
-        return round.isEmpty() ? Optional.empty() : Optional.of(round.remove(round.size() - 1));
+        return probeRound.isEmpty() ? Optional.empty() : Optional.of(probeRound.remove(probeRound.size() - 1));
     }
 
     private void suspect(String target) {
         Member member = members.get(target);
         if (member != null && member.status().compareTo(MemberStatus.SUSPECT) < 0) {
-            learn(member.with(MemberStatus.SUSPECT));
+            applyUpdate(member.withStatus(MemberStatus.SUSPECT));
         }
     }
 
-    private void buryUnrefuted() {
+    private void markExpiredSuspectsDead() {
         long since = clock.monotonicMillis() - limits.suspectPeriods() * limits.periodMillis();
         List<String> due = suspectedAtMillis.entrySet().stream()
                 .filter(e -> e.getValue() <= since)
                 .map(Map.Entry::getKey)
                 .toList();
-        due.stream().map(members::get).filter(Objects::nonNull).forEach(m -> learn(m.with(MemberStatus.DEAD)));
+        due.stream()
+                .map(members::get)
+                .filter(Objects::nonNull)
+                .forEach(m -> applyUpdate(m.withStatus(MemberStatus.DEAD)));
     }
 
-    private void learn(Member said) {
-        if (said.peerAddress().equals(self.peerAddress())) {
-            refute(said);
+    private void applyUpdate(Member reported) {
+        if (reported.peerAddress().equals(self.peerAddress())) {
+            refute(reported);
             return;
         }
-        Member known = members.get(said.peerAddress());
-        if (known != null && !said.supersedes(known)) {
+        Member known = members.get(reported.peerAddress());
+        if (known != null && !reported.supersedes(known)) {
             return;
         }
-        members.put(said.peerAddress(), said);
-        news.add(said);
-        if (said.status() == MemberStatus.SUSPECT) {
-            suspectedAtMillis.putIfAbsent(said.peerAddress(), clock.monotonicMillis());
+        members.put(reported.peerAddress(), reported);
+        updateQueue.add(reported);
+        if (reported.status() == MemberStatus.SUSPECT) {
+            suspectedAtMillis.putIfAbsent(reported.peerAddress(), clock.monotonicMillis());
         } else {
-            suspectedAtMillis.remove(said.peerAddress());
+            suspectedAtMillis.remove(reported.peerAddress());
         }
         listener.membersChanged();
     }
 
     /**
-     * Failure: a node that was paused or cut off is taken for dead and stays out. Symptom: a healthy router gets no
-     * work. Only the node itself raises its incarnation, so that its word goes before every older rumour.
+     * Refutes a wrong status of this node by raising its incarnation. Without this, a node that was paused or
+     * partitioned would stay dead to the others and a healthy router would get no work. Only the node itself raises its
+     * incarnation, so that its own update overrides all older ones.
      */
-    private void refute(Member said) {
-        boolean wrong = said.incarnation() >= self.incarnation() && said.status() != self.status();
+    private void refute(Member reported) {
+        boolean wrong = reported.incarnation() >= self.incarnation() && reported.status() != self.status();
         if (wrong) {
-            self = new Member(self.peerAddress(), self.address(), said.incarnation() + 1, self.status());
-            news.add(self);
+            self = new Member(self.peerAddress(), self.address(), reported.incarnation() + 1, self.status());
+            updateQueue.add(self);
         }
     }
 
     private void send(String to, GossipMessage.Kind kind, long sequence, String target) {
-        List<Member> updates = news.take(UPDATES_PER_MESSAGE, members.size());
+        List<Member> updates = updateQueue.take(UPDATES_PER_MESSAGE, members.size());
         transport.send(to, new GossipMessage(kind, sequence, self, target, configVersion, updates));
     }
 
@@ -309,9 +316,9 @@
     }
 
     /**
-     * Lists the members, this one included.
+     * Returns all members, including this node.
      *
-     * @return what is believed of each
+     * @return the members with their known status
      */
     public List<Member> members() {
         List<Member> all = new ArrayList<>(members.values());
@@ -320,16 +327,16 @@
     }
 
     /**
-     * Lists the members that may be named to callers, this one included while it serves.
+     * Returns the members that may be announced to callers, including this node while it serves.
      *
-     * @return the members believed alive
+     * @return the members with status alive
      */
     public List<Member> serving() {
         return members().stream().filter(m -> m.status() == MemberStatus.ALIVE).toList();
     }
 
     /**
-     * Returns this node's own member.
+     * Returns this node's own member record.
      *
      * @return the member
      */
--- a/core/src/main/java/org/hornbeamhead/core/membership/GossipTransport.java
+++ b/core/src/main/java/org/hornbeamhead/core/membership/GossipTransport.java
@@ -1,12 +1,12 @@
 package org.hornbeamhead.core.membership;
 
-/** Sends datagrams, which may be lost. */
+/** Sends gossip datagrams without guaranteed delivery. */
 @FunctionalInterface
 public interface GossipTransport {
     /**
      * Sends a message.
      *
-     * @param peerAddress where to
+     * @param peerAddress the receiver's peer address
      * @param message the message
      */
     void send(String peerAddress, GossipMessage message);
--- a/core/src/main/java/org/hornbeamhead/core/membership/Member.java
+++ b/core/src/main/java/org/hornbeamhead/core/membership/Member.java
@@ -1,20 +1,20 @@
 package org.hornbeamhead.core.membership;
 
 /**
- * What is said of a router, by itself or by others.
+ * The state of a router as reported by itself or by another router.
  *
- * @param peerAddress the address for other routers, which names the member
+ * @param peerAddress the address for other routers, which identifies the member
  * @param address the address for callers
- * @param incarnation raised by the member alone: it starts at its start time in milliseconds since the Unix epoch, and
- *     grows with each refutation
+ * @param incarnation raised only by the member itself: the process start time in milliseconds since the Unix epoch,
+ *     increased with each refutation
  * @param status the status
  */
 public record Member(String peerAddress, String address, long incarnation, MemberStatus status) {
     /**
-     * Tells whether this is newer than what is known.
+     * Returns whether this record is newer than the known one.
      *
-     * @param known what is known of the same member
-     * @return true when it must replace it
+     * @param known the known record of the same member
+     * @return true if this record must replace the known one
      */
     public boolean supersedes(Member known) {
         if (incarnation != known.incarnation()) {
@@ -24,12 +24,12 @@
     }
 
     /**
-     * Gives the same member with another status.
+     * Returns a copy of this member with another status.
      *
-     * @param changed the status
-     * @return the member
+     * @param changed the new status
+     * @return the copy
      */
-    public Member with(MemberStatus changed) {
+    public Member withStatus(MemberStatus changed) {
         return new Member(peerAddress, address, incarnation, changed);
     }
 }
--- a/core/src/main/java/org/hornbeamhead/core/membership/MemberStatus.java
+++ b/core/src/main/java/org/hornbeamhead/core/membership/MemberStatus.java
@@ -1,15 +1,15 @@
 package org.hornbeamhead.core.membership;
 
-/** What is believed of a member. At one incarnation a later constant goes before an earlier one. */
+/** The status of a member. Within one incarnation a later constant overrides an earlier one. */
 public enum MemberStatus {
-    /** It is listed or heard of, and cannot serve yet: it must not be named to callers. */
+    /** Listed or learned through gossip but not serving yet; not announced to callers. */
     STARTING,
-    /** It serves. */
+    /** Serving. */
     ALIVE,
-    /** It is being shut down gracefully: it serves, but must not be named to callers. */
+    /** Shutting down gracefully: still serving, but not announced to callers. */
     LEAVING,
-    /** It did not answer. It may still refute this. */
+    /** Did not answer a probe, and can still refute the suspicion. */
     SUSPECT,
-    /** It did not answer and did not refute. */
+    /** Did not answer and did not refute the suspicion in time. */
     DEAD
 }
--- a/core/src/main/java/org/hornbeamhead/core/outcome/Reason.java
+++ b/core/src/main/java/org/hornbeamhead/core/outcome/Reason.java
@@ -2,21 +2,21 @@
 
 import java.util.Locale;
 
-/** Why a request did not complete. The wire name is the lower-case name with hyphens. */
+/** The reason why a request did not complete. The wire name is the constant's name in lower case with hyphens. */
 public enum Reason {
-    /** The input is malformed; the findings say how. */
+    /** The input is malformed; the findings describe the faults. */
     BAD_REQUEST,
-    /** The customer's key is not known. */
+    /** The customer's key is unknown. */
     UNKNOWN_CUSTOMER,
-    /** The class, model or service is not one that the customer may use. */
+    /** The class, model or service is not permitted for the customer. */
     NOT_ALLOWED,
-    /** The pool has no replica that takes work. */
+    /** The pool has no replica that accepts work. */
     NO_REPLICA,
     /** The class's target cannot be met at the present load. */
     OVERLOADED,
-    /** The customer is over its fair share while others wait. */
+    /** The customer exceeds its fair share while others wait. */
     OVER_SHARE,
-    /** The router holds as many requests as it may. */
+    /** The router has reached its limit of requests. */
     ROUTER_FULL,
     /** The router is shutting down. */
     DRAINING,
@@ -28,25 +28,25 @@
     ALREADY_CLAIMED,
     /** The id is older than the retention of claims. */
     ID_EXPIRED,
-    /** The claim's result could not be learned; the request was not dispatched but its id is spent. */
+    /** The claim's result could not be determined; the request was not dispatched, but its id cannot be used again. */
     CLAIM_IN_DOUBT,
     /** The router that issued the ticket cannot be reached. */
     TICKET_HOLDER_LOST,
-    /** The endpoint failed or fell silent after the request was sent. */
+    /** The endpoint failed or stopped responding after the request was sent. */
     ENDPOINT_LOST,
-    /** The endpoint's answer did not belong to this request, or broke its sequence. */
+    /** The endpoint's response belonged to another request or was out of sequence. */
     CORRUPT_ANSWER,
-    /** Tries or time ran out before an endpoint took the request. */
+    /** The attempts or the time were exhausted before an endpoint accepted the request. */
     TRIES_EXHAUSTED,
-    /** Replicas ended while requests with this content ran there. */
+    /** Replicas terminated while they ran requests with this content. */
     HELD_BACK,
-    /** The caller went away. */
+    /** The caller disconnected. */
     CALLER_GONE;
 
     /**
-     * Gives the name used in answers, logs and metrics.
+     * Returns the name used in responses, logs and metrics.
      *
-     * @return such as {@code no-replica}
+     * @return the wire name, such as {@code no-replica}
      */
     public String wireName() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
--- a/core/src/main/java/org/hornbeamhead/core/replica/ReplicaEntry.java
+++ b/core/src/main/java/org/hornbeamhead/core/replica/ReplicaEntry.java
@@ -3,16 +3,16 @@
 import java.util.Map;
 
 /**
- * A replica as the registry lists it.
+ * A replica's entry in the registry.
  *
- * @param id names the replica; it may start again under the same id
- * @param startedAt when it started, in milliseconds since 1970 by its own clock; 0 when the registry does not tell
+ * @param id identifies the replica; a restarted replica may keep its id
+ * @param startedAt the start time in milliseconds since the epoch of 1970 by its own clock; 0 if the registry has none
  * @param service the service's name
  * @param address the IP address and port
- * @param dataCentre where it stands
- * @param draining whether it announced that it leaves
- * @param slots the requests that it runs at once
- * @param weights the version of the weights of each model that it serves
+ * @param dataCentre the data centre
+ * @param draining whether it has announced its shutdown
+ * @param slots the number of requests that it runs concurrently
+ * @param weights the weight version of each model that it serves
  */
 public record ReplicaEntry(
         String id,
@@ -23,16 +23,16 @@
         boolean draining,
         int slots,
         Map<String, Long> weights) {
-    /** Copies the weights, so that the entry cannot change. */
+    /** Makes an immutable copy of the weights. */
     public ReplicaEntry {
         weights = Map.copyOf(weights);
     }
 
     /**
-     * Names one run of the replica. What is believed of a replica (cached parts, load, failures, weights, accepted
-     * orders) holds for one run, since another run under the same id begins with nothing.
+     * Returns the identifier of one run of the replica. State tracked for a replica (cached parts, load, failures,
+     * weights, accepted orders) applies to one run, since another run under the same id starts empty.
      *
-     * @return the id with the time of its start
+     * @return the id and the start time
      */
     public String run() {
         return id + '@' + startedAt;
--- a/core/src/main/java/org/hornbeamhead/core/stream/CorruptStreamException.java
+++ b/core/src/main/java/org/hornbeamhead/core/stream/CorruptStreamException.java
@@ -1,13 +1,13 @@
 package org.hornbeamhead.core.stream;
 
-/** An event that cannot belong to the stream it came in. */
+/** Thrown for an event that cannot belong to the stream it was received in. */
 public final class CorruptStreamException extends Exception {
     private static final long serialVersionUID = 1L;
 
     /**
-     * Makes the exception.
+     * Creates an exception.
      *
-     * @param message which event, in which stream
+     * @param message the description of the event and the stream
      */
     public CorruptStreamException(String message) {
         super(message);
--- a/core/src/main/java/org/hornbeamhead/core/stream/EventCutter.java
+++ b/core/src/main/java/org/hornbeamhead/core/stream/EventSplitter.java
@@ -7,19 +7,20 @@
 import java.util.OptionalLong;
 
 /**
- * Cuts a byte stream into whole server-sent events without changing a byte of them.
+ * Splits a byte stream into complete server-sent events without changing their bytes.
  *
- * <p>Failure: a replica breaks off in the middle of an event and another goes on with the next one. Symptom: the caller
- * reads two halves of different events as one. Only events whose closing blank line has come are given out.
+ * <p>A replica can break off in the middle of an event and another replica can continue with the next one. Without
+ * splitting, the caller would read two halves of different events as one. Only events terminated by a blank line are
+ * returned.
  */
-public final class EventCutter {
+public final class EventSplitter {
     private static final int MAX_EVENT_BYTES = 1 << 20;
     private static final int MAX_ID_DIGITS = 18;
 
-    private final ByteArrayOutputStream block = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream buffer = new ByteArrayOutputStream();
     private int lineStart;
 
-    /** A whole event. */
+    /** A complete event. */
     public static final class Event {
         private final byte[] bytes;
 
@@ -28,7 +29,7 @@
         }
 
         /**
-         * Returns the event as it came, its blank line included.
+         * Returns the unmodified event, including its terminating blank line.
          *
          * @return the bytes; not copied
          */
@@ -37,7 +38,7 @@
         }
 
         /**
-         * Reads the event's number.
+         * Returns the event's number from its {@code id} field.
          *
          * @return the number, empty when it has none
          */
@@ -47,45 +48,45 @@
     }
 
     /**
-     * Takes in bytes.
+     * Consumes bytes.
      *
      * @param bytes the bytes
-     * @return the events that the bytes completed
-     * @throws CorruptStreamException when an event is longer than a megabyte
+     * @return the events completed by these bytes
+     * @throws CorruptStreamException if the buffered bytes exceed a megabyte
      */
     public List<Event> feed(byte[] bytes) throws CorruptStreamException {
         List<Event> events = new ArrayList<>();
         for (byte b : bytes) {
-            block.write(b);
+            buffer.write(b);
             if (b == '\n') {
                 endLine(events);
             }
         }
-        if (block.size() > MAX_EVENT_BYTES) {
+        if (buffer.size() > MAX_EVENT_BYTES) {
             throw new CorruptStreamException("an event of the stream is longer than " + MAX_EVENT_BYTES + " bytes");
         }
         return events;
     }
 
     private void endLine(List<Event> events) {
-        int length = block.size() - lineStart;
-        byte[] all = block.toByteArray();
+        int length = buffer.size() - lineStart;
+        byte[] all = buffer.toByteArray();
         boolean blank = length == 1 || (length == 2 && all[lineStart] == '\r');
-        lineStart = block.size();
+        lineStart = buffer.size();
         if (blank) {
             events.add(new Event(all));
-            block.reset();
+            buffer.reset();
             lineStart = 0;
         }
     }
 
     /**
-     * Tells whether a part of an event waits for its end.
+     * Returns whether an incomplete event is buffered.
      *
      * @return true in the middle of an event
      */
     public boolean insideEvent() {
-        return block.size() > 0;
+        return buffer.size() > 0;
     }
 
     private static OptionalLong idOf(byte[] event) {
--- a/core/src/main/java/org/hornbeamhead/core/stream/SseParser.java
+++ b/core/src/main/java/org/hornbeamhead/core/stream/SseParser.java
@@ -5,15 +5,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/**
- * Cuts a byte stream into server-sent events, wherever the bytes are split. An event whose closing blank line has not
- * come is not an event.
- */
+/** Incremental parser for server-sent events. An event without its terminating blank line is not returned. */
 public final class SseParser {
-    private static final int LINE_LIMIT = 1 << 20;
+    private static final int MAX_LINE_BYTES = 1 << 20;
 
     /**
-     * One event as it came.
+     * A parsed event.
      *
      * @param id the {@code id} field; empty when absent
      * @param data the {@code data} lines, joined by line feeds
@@ -26,13 +23,13 @@
     private boolean hasData;
 
     /**
-     * Takes in bytes.
+     * Parses bytes.
      *
      * @param bytes the bytes
-     * @param from the first
-     * @param to one past the last
-     * @return the events that the bytes completed
-     * @throws CorruptStreamException when a line is longer than a megabyte
+     * @param from the index of the first byte
+     * @param to the index after the last byte
+     * @return the events completed by these bytes
+     * @throws CorruptStreamException if an unfinished line is longer than a megabyte
      */
     public List<Event> feed(byte[] bytes, int from, int to) throws CorruptStreamException {
         List<Event> events = new ArrayList<>();
@@ -43,8 +40,8 @@
                 line.write(bytes[i]);
             }
         }
-        if (line.size() > LINE_LIMIT) {
-            throw new CorruptStreamException("a line of the stream is longer than " + LINE_LIMIT + " bytes");
+        if (line.size() > MAX_LINE_BYTES) {
+            throw new CorruptStreamException("a line of the stream is longer than " + MAX_LINE_BYTES + " bytes");
         }
         return events;
     }
--- a/core/src/main/java/org/hornbeamhead/core/stream/StreamCheck.java
+++ b/core/src/main/java/org/hornbeamhead/core/stream/StreamCheck.java
@@ -6,35 +6,35 @@
 import java.util.Map;
 
 /**
- * Lets through exactly the events of one request, once each and in order.
+ * Filters a stream to the events of one request, each once and in order.
  *
- * <p>Failure: an answer of another request, an event twice, or a stream cut short reaches the caller as if it were
- * whole. Symptom: a tenant reads another's letter, or half a verdict. Each event is matched by request and number; what
- * is early waits, what was seen is dropped, and the end counts only after every number before it.
+ * <p>Guards against events of another request, duplicate events and truncated streams, through which a customer could
+ * read another customer's data or take a partial answer for a complete one. Events are matched by request and number:
+ * early ones are buffered, duplicates are dropped, and the end mark counts only after all preceding numbers.
  */
 public final class StreamCheck {
-    private static final int EARLY_LIMIT = 64;
+    private static final int MAX_PENDING = 64;
 
     private final String requestId;
-    private final Map<Long, StreamEvent> early = new HashMap<>();
+    private final Map<Long, StreamEvent> pending = new HashMap<>();
     private long next;
     private boolean complete;
 
     /**
-     * Makes a check that has seen nothing.
+     * Creates a check for a new stream.
      *
-     * @param requestId the request and attempt whose events are let through
+     * @param requestId the request and attempt whose events are accepted
      */
     public StreamCheck(String requestId) {
         this.requestId = requestId;
     }
 
     /**
-     * Takes in an event.
+     * Processes an event.
      *
      * @param event the event
-     * @return the events that may now be passed on, in order
-     * @throws CorruptStreamException when the event cannot belong to this stream; nothing of it may be passed on
+     * @return the events that can now be forwarded, in order
+     * @throws CorruptStreamException if the event cannot belong to this stream; it must not be forwarded
      */
     public List<StreamEvent> accept(StreamEvent event) throws CorruptStreamException {
         if (!event.requestId().isEmpty() && !event.requestId().equals(requestId)) {
@@ -46,44 +46,44 @@
         if (complete || event.sequence() < next) {
             return List.of();
         }
-        if (early.size() >= EARLY_LIMIT) {
+        if (pending.size() >= MAX_PENDING) {
             throw new CorruptStreamException("event " + next + " is missing in stream of " + requestId);
         }
-        early.putIfAbsent(event.sequence(), event);
+        pending.putIfAbsent(event.sequence(), event);
         return release();
     }
 
     private List<StreamEvent> release() {
         List<StreamEvent> ready = new ArrayList<>();
-        for (StreamEvent e = early.remove(next); e != null; e = early.remove(next)) {
+        for (StreamEvent e = pending.remove(next); e != null; e = pending.remove(next)) {
             ready.add(e);
             next++;
             complete = e.end();
             if (complete) {
-                early.clear();
+                pending.clear();
             }
         }
         return ready;
     }
 
-    /** Forgets events that came early, before a resume from {@link #next}. */
+    /** Discards buffered early events before a resume from {@link #next}. */
     public void resume() {
-        early.clear();
+        pending.clear();
     }
 
     /**
-     * Returns the number of the next event to pass on, which is where a resume starts.
+     * Returns the number of the next event to forward, from which a resume starts.
      *
-     * @return events passed on so far
+     * @return the number of events forwarded so far
      */
     public long next() {
         return next;
     }
 
     /**
-     * Tells whether the whole stream was passed on.
+     * Returns whether the complete stream was forwarded.
      *
-     * @return true after the end mark
+     * @return true after the end mark was forwarded
      */
     public boolean isComplete() {
         return complete;
--- a/core/src/main/java/org/hornbeamhead/core/time/Clock.java
+++ b/core/src/main/java/org/hornbeamhead/core/time/Clock.java
@@ -1,21 +1,21 @@
 package org.hornbeamhead.core.time;
 
 /**
- * The two clocks that decisions read. A daemon passes the machine's, a test or a simulation passes its own.
+ * A monotonic clock and a wall clock. A daemon uses the machine's clocks; a test or a simulation supplies its own.
  *
- * <p>Durations are measured on the monotonic clock only. The wall clock serves to read times that others wrote, such as
- * the issue time inside an id.
+ * <p>Durations are measured on the monotonic clock only. The wall clock is for comparison with timestamps written by
+ * other processes, such as the issue time inside an id.
  */
 public interface Clock {
     /**
-     * Reads the monotonic clock.
+     * Returns the time of the monotonic clock.
      *
-     * @return milliseconds since an arbitrary start, never falling
+     * @return milliseconds since an arbitrary start, never decreasing
      */
     long monotonicMillis();
 
     /**
-     * Reads the wall clock.
+     * Returns the time of the wall clock.
      *
      * @return milliseconds since the Unix epoch, which may jump
      */
--- a/core/src/main/java/org/hornbeamhead/core/time/ManualClock.java
+++ b/core/src/main/java/org/hornbeamhead/core/time/ManualClock.java
@@ -1,12 +1,12 @@
 package org.hornbeamhead.core.time;
 
-/** A clock that moves only when told to, for tests and simulations of embedding programs. */
+/** A clock that advances only on request, for tests and simulations of embedding programs. */
 public final class ManualClock implements Clock {
     private long monotonic;
     private long wallOffset;
 
     /**
-     * Starts the clock.
+     * Creates a clock at monotonic time zero.
      *
      * @param wallMillis the wall time at monotonic time zero, in milliseconds since the Unix epoch
      */
@@ -15,9 +15,9 @@
     }
 
     /**
-     * Moves both clocks forward.
+     * Advances both clocks.
      *
-     * @param millis how far, in milliseconds; not negative
+     * @param millis the time to advance by, in milliseconds; not negative
      */
     public void advance(long millis) {
         if (millis < 0) {
@@ -27,9 +27,9 @@
     }
 
     /**
-     * Moves only the wall clock, as a time service's correction would.
+     * Adjusts only the wall clock, as a time synchronization service would.
      *
-     * @param millis how far, in milliseconds; may be negative
+     * @param millis the adjustment in milliseconds; may be negative
      */
     public void skewWall(long millis) {
         wallOffset += millis;
--- a/core/src/main/java/org/hornbeamhead/core/time/ManualTimers.java
+++ b/core/src/main/java/org/hornbeamhead/core/time/ManualTimers.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Timers over a {@link ManualClock}: advancing runs what is due, in order, so that a run repeats exactly. */
+/** Timers driven by a {@link ManualClock}. Due actions run in a fixed order, so that runs are reproducible. */
 public final class ManualTimers implements Timers {
     private record Entry(long dueMillis, long order, Runnable action) {}
 
@@ -13,7 +13,7 @@
     private long nextOrder;
 
     /**
-     * Makes timers.
+     * Creates timers.
      *
      * @param clock the clock to advance
      */
@@ -27,9 +27,9 @@
     }
 
     /**
-     * Moves the clock forward, running each action at its time.
+     * Advances the clock and runs each action at its due time.
      *
-     * @param millis how far, in milliseconds
+     * @param millis the time to advance by, in milliseconds
      */
     public void advance(long millis) {
         long end = clock.monotonicMillis() + millis;
--- a/core/src/test/java/org/hornbeamhead/core/http/HeadersTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/http/HeadersTest.java
@@ -8,7 +8,7 @@
 
 public class HeadersTest {
     @Test
-    public void passesOnAllButWhatConcernsOneConnection() {
+    public void endToEndRemovesHopByHopHeaders() {
         Headers headers = new Headers(List.of(
                 new Header("X-A", "1"),
                 new Header("Connection", "keep-alive, X-Hop"),
@@ -21,7 +21,7 @@
     }
 
     @Test
-    public void readsNumbersOfDigitsAlone() {
+    public void numberAcceptsDigitsOnly() {
         Headers headers = new Headers(List.of(new Header("A", "12"), new Header("B", "+1"), new Header("C", "1e3")));
         assertEquals(headers.number("a").orElseThrow(), 12);
         assertTrue(headers.number("B").isEmpty());
--- a/core/src/test/java/org/hornbeamhead/core/http/RequestReaderTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/http/RequestReaderTest.java
@@ -24,7 +24,7 @@
     }
 
     @DataProvider
-    public Object[][] whole() {
+    public Object[][] validRequests() {
         return new Object[][] {
             {"GET /a/b?c=%20d HTTP/1.1\r\nHost: h\r\n\r\n", "GET", "/a/b?c=%20d", ""},
             {"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc", "POST", "/a", "abc"},
@@ -44,8 +44,8 @@
         };
     }
 
-    @Test(dataProvider = "whole")
-    public void readsAWholeRequestHoweverItIsSplit(String text, String method, String target, String body)
+    @Test(dataProvider = "validRequests")
+    public void readsRequestSplitAtAnyByte(String text, String method, String target, String body)
             throws BadMessageException {
         for (int split = 0; split < text.length(); split++) {
             RequestReader reader = new RequestReader(MAX_HEAD, MAX_BODY);
@@ -60,14 +60,14 @@
     }
 
     @Test
-    public void leavesTheNextRequestsBytes() throws BadMessageException {
+    public void leavesBytesOfNextRequest() throws BadMessageException {
         Bytes in = Bytes.of(bytes("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nabGET /b"));
         assertTrue(new RequestReader(MAX_HEAD, MAX_BODY).feed(in).isPresent());
         assertEquals(new String(in.take(in.remaining()), StandardCharsets.ISO_8859_1), "GET /b");
     }
 
     @DataProvider
-    public Object[][] refused() {
+    public Object[][] rejectedRequests() {
         String post = "POST /a HTTP/1.1\r\nHost: h\r\n";
         return new Object[][] {
             {"two lengths", post + "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", 400},
@@ -98,16 +98,16 @@
     }
 
     /**
-     * A caller sends bytes that two readers can understand as different requests. If the router passed them on, a
-     * replica could run a request that no caller sent. Each is refused before any replica is chosen.
+     * A caller sends bytes that two parsers can interpret as different requests. If the router forwarded them, a
+     * replica could run a request that no caller sent. Each must be rejected before a replica is chosen.
      */
-    @Test(dataProvider = "refused")
-    public void refusesWhatCouldBeReadInTwoWays(String what, String text, int status) {
-        assertEquals(expectThrows(BadMessageException.class, () -> read(text)).status(), status, what);
+    @Test(dataProvider = "rejectedRequests")
+    public void rejectsAmbiguousRequest(String description, String text, int status) {
+        assertEquals(expectThrows(BadMessageException.class, () -> read(text)).status(), status, description);
     }
 
     @Test
-    public void knowsWhetherTheConnectionStays() throws BadMessageException {
+    public void readsKeepAlive() throws BadMessageException {
         assertTrue(
                 read("GET / HTTP/1.1\r\nHost: h\r\n\r\n").orElseThrow().head().keepAlive());
         assertFalse(read("GET / HTTP/1.1\r\nHost: h\r\nConnection: x, Close\r\n\r\n")
--- a/core/src/test/java/org/hornbeamhead/core/http/ResponseReaderTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/http/ResponseReaderTest.java
@@ -16,7 +16,7 @@
     }
 
     @DataProvider
-    public Object[][] answers() {
+    public Object[][] validResponses() {
         return new Object[][] {
             {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", "GET", 200, "abc", true, true},
             {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", "GET", 200, "abc", true, true
@@ -29,9 +29,9 @@
         };
     }
 
-    @Test(dataProvider = "answers")
-    public void readsAnAnswerHoweverItIsSplit(
-            String text, String method, int status, String body, boolean done, boolean keep)
+    @Test(dataProvider = "validResponses")
+    public void readsResponseSplitAtAnyByte(
+            String text, String method, int status, String body, boolean done, boolean keepAlive)
             throws BadMessageException {
         for (int split = 0; split <= text.length(); split++) {
             ResponseReader reader = new ResponseReader(method);
@@ -39,15 +39,15 @@
             read.writeBytes(reader.feed(Bytes.of(bytes(text.substring(0, split)))));
             read.writeBytes(reader.feed(Bytes.of(bytes(text.substring(split)))));
             assertEquals(reader.head().orElseThrow().status(), status);
-            assertEquals(reader.head().orElseThrow().keepAlive(), keep);
+            assertEquals(reader.head().orElseThrow().keepAlive(), keepAlive);
             assertEquals(read.toString(StandardCharsets.ISO_8859_1), body);
             assertEquals(reader.done(), done);
-            assertEquals(reader.endsWithConnection(), !done);
+            assertEquals(reader.endsAtClose(), !done);
         }
     }
 
     @DataProvider
-    public Object[][] garbled() {
+    public Object[][] malformedResponses() {
         return new Object[][] {
             {"\0\1\2garbage\r\n\r\n"},
             {"HTTP/1.1 2x0 OK\r\n\r\n"},
@@ -57,19 +57,19 @@
         };
     }
 
-    /** A faulty replica writes bytes that are no answer. The caller must not get any of them as a success. */
-    @Test(dataProvider = "garbled")
-    public void refusesWhatIsNoAnswer(String text) {
+    /** A faulty replica sends bytes that are not a valid response. None may reach the caller as a success. */
+    @Test(dataProvider = "malformedResponses")
+    public void rejectsMalformedResponse(String text) {
         assertThrows(BadMessageException.class, () -> new ResponseReader("GET").feed(Bytes.of(bytes(text))));
     }
 
     @Test
-    public void leavesBytesBehindTheAnswer() throws BadMessageException {
+    public void leavesBytesAfterResponse() throws BadMessageException {
         ResponseReader reader = new ResponseReader("GET");
         Bytes in = Bytes.of(bytes("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\naHTTP/1.1 200 OK\r\n"));
         assertEquals(reader.feed(in), bytes("a"));
         assertTrue(reader.done());
         assertEquals(in.remaining(), "HTTP/1.1 200 OK\r\n".length());
-        assertFalse(reader.endsWithConnection());
+        assertFalse(reader.endsAtClose());
     }
 }
--- a/core/src/test/java/org/hornbeamhead/core/membership/GossipNodeTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/membership/GossipNodeTest.java
@@ -22,39 +22,39 @@
 
     private final Map<String, GossipNode> nodes = new HashMap<>();
     private final Map<String, Long> versions = new HashMap<>();
-    private final Set<String> dead = new HashSet<>();
+    private final Set<String> stopped = new HashSet<>();
     private ManualClock clock;
     private ManualTimers timers;
     private SplittableRandom random;
-    private BiPredicate<String, String> cut;
-    private double lossShare;
+    private BiPredicate<String, String> partitioned;
+    private double lossRate;
 
     @BeforeMethod
     public void setUp() {
         nodes.clear();
         versions.clear();
-        dead.clear();
+        stopped.clear();
         clock = new ManualClock(1_000);
         timers = new ManualTimers(clock);
         random = new SplittableRandom(11);
-        cut = (a, b) -> false;
-        lossShare = 0;
+        partitioned = (a, b) -> false;
+        lossRate = 0;
     }
 
-    private void fleet(int size) {
+    private void startNodes(int size) {
         List<Member> listed = new ArrayList<>();
         for (int i = 0; i < size; i++) {
             listed.add(new Member("p" + i, "h" + i, 0, MemberStatus.ALIVE));
         }
-        listed.forEach(m -> open(m.peerAddress(), m.address(), 1));
-        nodes.values().forEach(n -> n.listed(listed));
+        listed.forEach(m -> startNode(m.peerAddress(), m.address(), 1));
+        nodes.values().forEach(n -> n.updateHostList(listed));
     }
 
-    private void open(String peer, String address, long incarnation) {
-        open(peer, address, incarnation, MemberStatus.ALIVE);
+    private void startNode(String peer, String address, long incarnation) {
+        startNode(peer, address, incarnation, MemberStatus.ALIVE);
     }
 
-    private void open(String peer, String address, long incarnation, MemberStatus status) {
+    private void startNode(String peer, String address, long incarnation, MemberStatus status) {
         GossipNode node = new GossipNode(
                 new Member(peer, address, incarnation, status),
                 clock,
@@ -65,7 +65,7 @@
                 new GossipListener() {
                     @Override
                     public void membersChanged() {
-                        // Only the members themselves are looked at here.
+                        // Not needed: the tests read the members directly.
                     }
 
                     @Override
@@ -79,22 +79,22 @@
 
     private void adopt(String peer, long version) {
         if (versions.merge(peer, version, Math::max) == version) {
-            nodes.get(peer).config(version);
+            nodes.get(peer).updateConfigVersion(version);
         }
     }
 
     private void deliver(String from, String to, GossipMessage message) {
-        boolean lost = cut.test(from, to) || random.nextDouble() < lossShare;
+        boolean lost = partitioned.test(from, to) || random.nextDouble() < lossRate;
         timers.schedule(DELAY_MILLIS, () -> {
-            if (!lost && !dead.contains(from) && !dead.contains(to)) {
+            if (!lost && !stopped.contains(from) && !stopped.contains(to)) {
                 nodes.get(to).receive(message);
             }
         });
     }
 
-    private boolean allBelieve(String peer, MemberStatus status) {
+    private boolean allRecord(String peer, MemberStatus status) {
         return nodes.entrySet().stream()
-                .filter(e -> !dead.contains(e.getKey()) && !e.getKey().equals(peer))
+                .filter(e -> !stopped.contains(e.getKey()) && !e.getKey().equals(peer))
                 .allMatch(e -> e.getValue().members().stream()
                         .anyMatch(m -> m.peerAddress().equals(peer) && m.status() == status));
     }
@@ -104,90 +104,89 @@
         return new Object[][] {{3}, {8}, {40}};
     }
 
-    // A router is killed. Within some seconds all others take it for dead and name it to no caller.
+    // A router is killed. Within seconds all others must mark it dead and stop announcing it to callers.
     @Test(dataProvider = "sizes")
-    public void aKilledRouterIsFoundByAll(int size) {
-        fleet(size);
+    public void allNodesDetectKilledRouter(int size) {
+        startNodes(size);
         timers.advance(3_000);
-        dead.add("p1");
+        stopped.add("p1");
         timers.advance(15_000);
-        assertTrue(allBelieve("p1", MemberStatus.DEAD));
+        assertTrue(allRecord("p1", MemberStatus.DEAD));
     }
 
-    // A tenth of all datagrams is lost. Nobody that lives is buried, since suspects refute in time.
+    // A tenth of all datagrams is lost. No live node stays dead, since suspects refute in time.
     @Test
-    public void lossAloneBuriesNobody() {
-        fleet(20);
-        lossShare = 0.1;
+    public void datagramLossMarksNoLiveNodeDead() {
+        startNodes(20);
+        lossRate = 0.1;
         timers.advance(120_000);
-        lossShare = 0;
+        lossRate = 0;
         timers.advance(20_000);
         for (String peer : nodes.keySet()) {
-            assertTrue(allBelieve(peer, MemberStatus.ALIVE), peer);
+            assertTrue(allRecord(peer, MemberStatus.ALIVE), peer);
         }
     }
 
-    // Two regions lose each other for an hour and bury each other. When the way is open again, they meet by themselves.
+    // Two regions are partitioned for an hour and mark each other dead. They must rejoin by themselves afterwards.
     @Test
-    public void regionsThatLostEachOtherMeetAgain() {
-        fleet(16);
+    public void partitionedRegionsRejoin() {
+        startNodes(16);
         timers.advance(3_000);
-        cut = (a, b) -> Integer.parseInt(a.substring(1)) < 8 != Integer.parseInt(b.substring(1)) < 8;
+        partitioned = (a, b) -> Integer.parseInt(a.substring(1)) < 8 != Integer.parseInt(b.substring(1)) < 8;
         timers.advance(3_600_000);
-        cut = (a, b) -> false;
+        partitioned = (a, b) -> false;
         timers.advance(60_000);
         for (String peer : nodes.keySet()) {
-            assertTrue(allBelieve(peer, MemberStatus.ALIVE), peer);
+            assertTrue(allRecord(peer, MemberStatus.ALIVE), peer);
         }
     }
 
-    // A router leaves gracefully: the others stop naming it at once, without a suspicion.
+    // A router leaves gracefully. The others must stop announcing it at once, without suspecting it first.
     @Test
-    public void aLeavingRouterIsNoLongerNamed() {
-        fleet(8);
+    public void leavingRouterIsNotServing() {
+        startNodes(8);
         timers.advance(3_000);
         nodes.get("p2").leave();
         timers.advance(2_000);
-        assertTrue(allBelieve("p2", MemberStatus.LEAVING));
+        assertTrue(allRecord("p2", MemberStatus.LEAVING));
         assertEquals(nodes.get("p0").serving().size(), 7);
     }
 
-    // A host stands in the list before its process can serve. It is probed, and named only after it said that it
-    // serves.
+    // A host is listed before its process can serve. It is probed, and announced only after it reports that it serves.
     @Test
-    public void aStartingRouterIsNotNamedUntilItSaysThatItServes() {
-        fleet(4);
+    public void startingRouterIsNotServingUntilItAnnouncesIt() {
+        startNodes(4);
         timers.advance(3_000);
-        open("p9", "h9", 1, MemberStatus.STARTING);
+        startNode("p9", "h9", 1, MemberStatus.STARTING);
         List<Member> listed = new ArrayList<>(nodes.get("p0").members());
         listed.add(new Member("p9", "h9", 0, MemberStatus.STARTING));
-        nodes.values().forEach(n -> n.listed(listed));
+        nodes.values().forEach(n -> n.updateHostList(listed));
         timers.advance(10_000);
-        assertTrue(allBelieve("p9", MemberStatus.STARTING));
+        assertTrue(allRecord("p9", MemberStatus.STARTING));
         assertEquals(nodes.get("p0").serving().size(), 4);
-        nodes.get("p9").serve();
+        nodes.get("p9").startServing();
         timers.advance(2_000);
         assertEquals(nodes.get("p0").serving().size(), 5);
     }
 
-    // A dead router is replaced by a new process at the same address, whose incarnation is its later start.
+    // A dead router is replaced by a new process at the same address, whose incarnation is its later start time.
     @Test
-    public void aReplacedRouterIsTakenBack() {
-        fleet(8);
+    public void replacedRouterBecomesAlive() {
+        startNodes(8);
         timers.advance(3_000);
-        dead.add("p3");
+        stopped.add("p3");
         timers.advance(15_000);
-        dead.remove("p3");
-        open("p3", "h3", clock.wallMillis());
-        nodes.get("p3").listed(nodes.get("p0").members());
+        stopped.remove("p3");
+        startNode("p3", "h3", clock.wallMillis());
+        nodes.get("p3").updateHostList(nodes.get("p0").members());
         timers.advance(15_000);
-        assertTrue(allBelieve("p3", MemberStatus.ALIVE));
+        assertTrue(allRecord("p3", MemberStatus.ALIVE));
     }
 
-    // One router accepts a new configuration. All hear of it well within five seconds.
+    // One router accepts a new configuration. All others must learn its version within five seconds.
     @Test(dataProvider = "sizes")
-    public void aVersionReachesAllWithinSeconds(int size) {
-        fleet(size);
+    public void configVersionReachesAllNodes(int size) {
+        startNodes(size);
         timers.advance(3_000);
         adopt("p0", 7);
         timers.advance(5_000);
--- a/core/src/test/java/org/hornbeamhead/core/stream/EventCutterTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/stream/EventSplitterTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-public class EventCutterTest {
+public class EventSplitterTest {
     @DataProvider
     public Object[][] streams() {
         return new Object[][] {
@@ -23,28 +23,31 @@
     }
 
     @Test(dataProvider = "streams")
-    public void givesEventsUnchangedHoweverTheyAreSplit(String text, List<Long> ids) throws CorruptStreamException {
+    public void returnsEventsUnchangedSplitAtAnyByte(String text, List<Long> ids) throws CorruptStreamException {
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
         for (int split = 0; split <= bytes.length; split++) {
-            EventCutter cutter = new EventCutter();
-            List<EventCutter.Event> events = new ArrayList<>(cutter.feed(Arrays.copyOf(bytes, split)));
-            events.addAll(cutter.feed(Arrays.copyOfRange(bytes, split, bytes.length)));
+            EventSplitter splitter = new EventSplitter();
+            List<EventSplitter.Event> events = new ArrayList<>(splitter.feed(Arrays.copyOf(bytes, split)));
+            events.addAll(splitter.feed(Arrays.copyOfRange(bytes, split, bytes.length)));
             StringBuilder joined = new StringBuilder();
             events.forEach(e -> joined.append(new String(e.bytes(), StandardCharsets.ISO_8859_1)));
             assertEquals(joined.toString(), text);
             assertEquals(events.stream().map(e -> e.id().orElse(-1)).toList(), ids);
-            assertFalse(cutter.insideEvent());
+            assertFalse(splitter.insideEvent());
         }
     }
 
-    /** A replica crashes in the middle of an event. The half must stay here: another replica sends the event whole. */
+    /**
+     * A replica crashes in the middle of an event. The partial event must be withheld, since another replica resends
+     * it.
+     */
     @Test
-    public void keepsHalfAnEventBack() throws CorruptStreamException {
-        EventCutter cutter = new EventCutter();
+    public void withholdsIncompleteEvent() throws CorruptStreamException {
+        EventSplitter splitter = new EventSplitter();
         assertEquals(
-                cutter.feed("id: 1\ndata: a\n\nid: 2\nda".getBytes(StandardCharsets.ISO_8859_1))
+                splitter.feed("id: 1\ndata: a\n\nid: 2\nda".getBytes(StandardCharsets.ISO_8859_1))
                         .size(),
                 1);
-        assertTrue(cutter.insideEvent());
+        assertTrue(splitter.insideEvent());
     }
 }
--- a/core/src/test/java/org/hornbeamhead/core/stream/StreamCheckTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/stream/StreamCheckTest.java
@@ -22,13 +22,13 @@
         return new StreamEvent(Long.parseLong(e.id()), "r", e.data(), e.data().equals("[DONE]"));
     }
 
-    /** What a relay passes on of the bytes, with the check, or naively. */
-    private static List<String> relay(StreamCheck check, byte[] bytes, int from, int to, boolean naive)
+    /** Returns the data that a relay forwards from the bytes, either through the check or without it. */
+    private static List<String> relay(StreamCheck check, byte[] bytes, int from, int to, boolean unchecked)
             throws CorruptStreamException {
         List<String> passed = new ArrayList<>();
         SseParser parser = new SseParser();
         for (SseParser.Event e : parser.feed(bytes, from, to)) {
-            if (naive) {
+            if (unchecked) {
                 passed.add(e.data());
             } else {
                 check.accept(event(e)).forEach(p -> passed.add(p.data()));
@@ -37,10 +37,11 @@
         return passed;
     }
 
-    // The connection is cut after any byte, and the stream is asked for again from the last event passed on. The caller
-    // sees every event once, in order, and the end only at the end.
+    // The connection is cut after any byte, and the stream is resumed from the last forwarded event. The caller must
+    // see
+    // every event once, in order, and the end mark last.
     @Test
-    public void aCutAtAnyByteIsResumedWithoutLossOrDoubling() throws CorruptStreamException {
+    public void resumeAfterCutAtAnyByteLosesAndRepeatsNothing() throws CorruptStreamException {
         byte[] bytes = STREAM.getBytes(StandardCharsets.UTF_8);
         List<String> whole = relay(new StreamCheck("r"), bytes, 0, bytes.length, true);
         for (int cut = 0; cut < bytes.length; cut++) {
@@ -57,7 +58,7 @@
     }
 
     @DataProvider
-    public Object[][] disorders() {
+    public Object[][] eventOrders() {
         return new Object[][] {
             {"doubled", List.of(0, 0, 1, 1, 2, 2, 3, 4, 4, 5, 6, 7, 8, 9, 10, 11)},
             {"swapped", List.of(1, 0, 3, 2, 5, 4, 7, 6, 9, 8, 10, 11)},
@@ -67,9 +68,9 @@
         };
     }
 
-    // The engine sends events twice or out of order. The naive relay passes the disorder on; the check does not.
-    @Test(dataProvider = "disorders")
-    public void disorderDoesNotReachTheCaller(String name, List<Integer> order) throws CorruptStreamException {
+    // The engine sends events twice or out of order. An unchecked relay forwards them so; the check restores the order.
+    @Test(dataProvider = "eventOrders")
+    public void reorderedEventsReachCallerInOrder(String name, List<Integer> order) throws CorruptStreamException {
         List<String> parts = List.of(STREAM.split("(?<=\n\n)"));
         byte[] bytes = order.stream().map(parts::get).reduce("", String::concat).getBytes(StandardCharsets.UTF_8);
         byte[] good = STREAM.getBytes(StandardCharsets.UTF_8);
@@ -78,21 +79,21 @@
         assertFalse(relay(new StreamCheck("r"), bytes, 0, bytes.length, true).equals(whole), name);
     }
 
-    // An answer of another request arrives on this stream's connection. Nothing of it may pass.
+    // An event of another request arrives on this stream's connection. It must not be forwarded.
     @Test
-    public void anotherRequestsEventIsRefused() {
+    public void eventOfAnotherRequestIsRejected() {
         StreamCheck check = new StreamCheck("r");
         assertThrows(CorruptStreamException.class, () -> check.accept(new StreamEvent(0, "other", "x", false)));
     }
 
     @Test
-    public void anEventWithoutANumberIsRefused() {
+    public void eventWithoutNumberIsRejected() {
         StreamCheck check = new StreamCheck("r");
         assertThrows(CorruptStreamException.class, () -> check.accept(new StreamEvent(-1, "r", "x", false)));
     }
 
     @Test
-    public void aMissingEventIsNotWaitedForWithoutLimit() {
+    public void waitForMissingEventIsBounded() {
         StreamCheck check = new StreamCheck("r");
         assertThrows(CorruptStreamException.class, () -> {
             for (int i = 1; i < 1_000; i++) {
@@ -102,7 +103,7 @@
     }
 
     @Test
-    public void anEndlessLineIsRefused() {
+    public void overlongLineIsRejected() {
         SseParser parser = new SseParser();
         byte[] bytes = new byte[1 << 16];
         assertThrows(CorruptStreamException.class, () -> {
--- a/fuzz/src/test/java/org/hornbeamhead/fuzz/StreamReading.java
+++ b/fuzz/src/test/java/org/hornbeamhead/fuzz/StreamReading.java
@@ -6,7 +6,7 @@
 import java.util.Arrays;
 import java.util.List;
 import org.hornbeamhead.core.stream.CorruptStreamException;
-import org.hornbeamhead.core.stream.EventCutter;
+import org.hornbeamhead.core.stream.EventSplitter;
 import org.hornbeamhead.core.stream.SseParser;
 
 /** Reads bytes as streams of events: what is found must not depend on how the network cut them. */
@@ -19,7 +19,7 @@
     }
 
     private static List<String> cut(byte[] bytes, int step) {
-        EventCutter cutter = new EventCutter();
+        EventSplitter cutter = new EventSplitter();
         List<String> found = new ArrayList<>();
         try {
             for (int at = 0; at < bytes.length; at += step) {
--- a/gateway/src/main/java/org/hornbeamhead/gateway/caller/CallerConnection.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/caller/CallerConnection.java
@@ -106,7 +106,7 @@
         if (began && reader.insideRequest()) {
             arm(limits.headerTimeoutMillis(), () -> refuse(REQUEST_TIMEOUT, "the request took too long to arrive"));
         }
-        if (reader.awaitsContinue() && !continued) {
+        if (reader.expectsContinue() && !continued) {
             continued = true;
             socket.write(ByteBuf.wrapForReading(CONTINUE));
         }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Attempt.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Attempt.java
@@ -9,7 +9,7 @@
 import org.hornbeamhead.core.http.ResponseHead;
 import org.hornbeamhead.core.route.Route;
 import org.hornbeamhead.core.stream.CorruptStreamException;
-import org.hornbeamhead.core.stream.EventCutter;
+import org.hornbeamhead.core.stream.EventSplitter;
 import org.hornbeamhead.daemon.Logs;
 import org.hornbeamhead.gateway.replica.LiveReplica;
 import org.hornbeamhead.gateway.replica.ReplicaConnection;
@@ -32,7 +32,7 @@
     private final Exchange exchange;
     private final Target target;
     private final LiveReplica replica;
-    private final EventCutter cutter = new EventCutter();
+    private final EventSplitter cutter = new EventSplitter();
     private final AttemptTimers timers;
     private final AttemptRequest request;
     private ReplicaConnection connection;
@@ -198,7 +198,7 @@
             buffered.add(bytes);
             return Promise.complete();
         }
-        List<EventCutter.Event> events;
+        List<EventSplitter.Event> events;
         try {
             events = cutter.feed(bytes);
         } catch (CorruptStreamException e) {
@@ -208,7 +208,7 @@
         return events.isEmpty() ? Promise.complete() : relay(events);
     }
 
-    private Promise<Void> relay(List<EventCutter.Event> events) {
+    private Promise<Void> relay(List<EventSplitter.Event> events) {
         replica.load().firstEvent(request.id(), now());
         armSilence(request.patience().pauseMillis());
         ByteArrayOutputStream fresh = new ByteArrayOutputStream();
--- a/gateway/src/main/java/org/hornbeamhead/gateway/replica/ReplicaConnection.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/replica/ReplicaConnection.java
@@ -110,7 +110,7 @@
     }
 
     private void ended() {
-        if (listener != null && reader.endsWithConnection() && headGiven) {
+        if (listener != null && reader.endsAtClose() && headGiven) {
             ReplicaListener l = listener;
             listener = null;
             close();
@@ -151,7 +151,7 @@
     /** An answer to an earlier request came late; the one that is waited for follows it. */
     private void skip(Bytes in) {
         if (!reader.done()) {
-            if (reader.endsWithConnection()) {
+            if (reader.endsAtClose()) {
                 breakOff("an answer to another request came, without its length");
             } else {
                 read();
--- a/router/src/main/java/org/hornbeamhead/router/Router.java
+++ b/router/src/main/java/org/hornbeamhead/router/Router.java
@@ -182,7 +182,7 @@
 
     /** Runs until the end of the process. */
     void run() {
-        config.onChange(c -> gossip.config(config.state().version()));
+        config.onChange(c -> gossip.updateConfigVersion(config.state().version()));
         config.onChange(c -> serveWhenReady());
         peerNode.receive(gossip::receive);
         peerNode.receiveCrashes(quarantine::receive);
@@ -204,7 +204,7 @@
     private void fetchHosts() {
         hostList.fetch().whenResult(hosts -> {
             pools.listed(hosts);
-            gossip.listed(pools.entries().stream().map(Router::member).toList());
+            gossip.updateHostList(pools.entries().stream().map(Router::member).toList());
             hostsKnown = true;
             serveWhenReady();
         });
@@ -212,7 +212,7 @@
 
     private void serveWhenReady() {
         if (hostsKnown && config.state().version() > 0) {
-            gossip.serve();
+            gossip.startServing();
         }
     }
 
