--- a/core/src/main/java/org/hornbeamhead/core/stream/EventSplitter.java
+++ b/core/src/main/java/org/hornbeamhead/core/stream/EventSplitter.java
@@ -9,8 +9,8 @@
 /**
  * Splits a byte stream into complete server-sent events without changing their bytes.
  *
- * <p>A replica can break off in the middle of an event and another replica can continue with the next one. Without
- * splitting, the caller would read two halves of different events as one. Only events terminated by a blank line are
+ * <p>A replica can break off in the middle of an event and another replica can continue with the next one. Without this
+ * filter, the caller would read two halves of different events as one. Only events terminated by a blank line are
  * returned.
  */
 public final class EventSplitter {
--- a/core/src/test/java/org/hornbeamhead/core/membership/GossipNodeTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/membership/GossipNodeTest.java
@@ -116,7 +116,7 @@
 
     // A tenth of all datagrams is lost. No live node stays dead, since suspects refute in time.
     @Test
-    public void datagramLossMarksNoLiveNodeDead() {
+    public void datagramLossLeavesLiveNodesAlive() {
         startNodes(20);
         lossRate = 0.1;
         timers.advance(120_000);
