--- a/gateway/src/main/java/org/hornbeamhead/gateway/caller/CallerConnection.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/caller/CallerConnection.java
@@ -109,7 +109,7 @@
             startTimer(
                     limits.headerTimeoutMillis(), () -> reject(REQUEST_TIMEOUT, "the request took too long to arrive"));
         }
-        if (reader.awaitsContinue() && !continueSent) {
+        if (reader.expectsContinue() && !continueSent) {
             continueSent = true;
             socket.write(ByteBuf.wrapForReading(CONTINUE_RESPONSE));
         }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Attempt.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Attempt.java
@@ -9,7 +9,7 @@
 import org.hornbeamhead.core.http.ResponseHead;
 import org.hornbeamhead.core.route.Route;
 import org.hornbeamhead.core.stream.CorruptStreamException;
-import org.hornbeamhead.core.stream.EventCutter;
+import org.hornbeamhead.core.stream.EventSplitter;
 import org.hornbeamhead.daemon.Logs;
 import org.hornbeamhead.gateway.replica.LiveReplica;
 import org.hornbeamhead.gateway.replica.ReplicaConnection;
@@ -42,7 +42,7 @@
     private final Exchange exchange;
     private final Target target;
     private final LiveReplica replica;
-    private final EventCutter streamParser = new EventCutter();
+    private final EventSplitter streamParser = new EventSplitter();
     private final AttemptTimers timers;
     private final AttemptRequest request;
     private ReplicaConnection connection;
@@ -220,7 +220,7 @@
             buffered.append(bytes);
             return Promise.complete();
         }
-        List<EventCutter.Event> events;
+        List<EventSplitter.Event> events;
         try {
             events = streamParser.feed(bytes);
         } catch (CorruptStreamException e) {
@@ -230,7 +230,7 @@
         return events.isEmpty() ? Promise.complete() : relay(events);
     }
 
-    private Promise<Void> relay(List<EventCutter.Event> events) {
+    private Promise<Void> relay(List<EventSplitter.Event> events) {
         replica.load().recordFirstEvent(request.id(), now());
         armSilenceTimer(request.silenceTimeouts().pauseMillis());
         ByteArrayOutputStream newEvents = new ByteArrayOutputStream();
--- a/gateway/src/main/java/org/hornbeamhead/gateway/replica/ReplicaConnection.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/replica/ReplicaConnection.java
@@ -114,7 +114,7 @@
     }
 
     private void onEndOfStream() {
-        if (listener != null && reader.endsWithConnection() && headDelivered) {
+        if (listener != null && reader.endsAtClose() && headDelivered) {
             ResponseListener currentListener = listener;
             listener = null;
             close();
@@ -155,7 +155,7 @@
     /** Skips a late response to an earlier request; the expected one follows it. */
     private void skipResponse(Bytes input) {
         if (!reader.done()) {
-            if (reader.endsWithConnection()) {
+            if (reader.endsAtClose()) {
                 fail("an answer to another request came, without its length");
             } else {
                 read();
