--- a/bench/src/main/java/org/hornbeamhead/bench/MemoryBench.java
+++ b/bench/src/main/java/org/hornbeamhead/bench/MemoryBench.java
@@ -32,7 +32,8 @@
                 .mapToObj(i -> new Endpoint(EndpointKind.ENGINE, "p", "10.1.2.3:" + i, "", "dc-1", false))
                 .toList());
         table.replicas().forEach(r -> {
-            table.applyReport(r.address(), new LoadReport("incarnation-" + r.address(), "model", "weights", 0, 0, false));
+            table.applyReport(
+                    r.address(), new LoadReport("incarnation-" + r.address(), "model", "weights", 0, 0, false));
             for (int i = 0; i < promptsEach; i++) {
                 long key = ReplicaRing.mix(r.address().hashCode(), i);
                 PrefixChain chain = new PrefixChain(List.of(new PrefixLevel(key, 10)));
@@ -41,7 +42,9 @@
             }
         });
         long after = used();
-        int kept = table.replicas().stream().mapToInt(r -> r.cachedPrefixes().size()).sum();
+        int kept = table.replicas().stream()
+                .mapToInt(r -> r.cachedPrefixes().size())
+                .sum();
         return String.format("| %d | %d | %d | %.0f |", replicas, promptsEach, kept, (after - before) / KILO);
     }
 
--- a/bench/src/main/java/org/hornbeamhead/bench/PlacementBenchmark.java
+++ b/bench/src/main/java/org/hornbeamhead/bench/PlacementBenchmark.java
@@ -65,7 +65,8 @@
                 .mapToObj(i -> new Endpoint(EndpointKind.ENGINE, "p", "e" + i, "", "dc", false))
                 .toList();
         table.setEndpoints(endpoints);
-        IntStream.range(0, size).forEach(i -> table.applyReport("e" + i, new LoadReport("i" + i, "m", "w", 0, 0, false)));
+        IntStream.range(0, size)
+                .forEach(i -> table.applyReport("e" + i, new LoadReport("i" + i, "m", "w", 0, 0, false)));
         addresses = endpoints.stream().map(Endpoint::address).toList();
         entries.updateRouters(addresses);
         placement.setRouterCount(1);
--- a/bench/src/main/java/org/hornbeamhead/bench/PolicyBench.java
+++ b/bench/src/main/java/org/hornbeamhead/bench/PolicyBench.java
@@ -135,8 +135,8 @@
         PrefixChain chain = chain(request);
         PlacementTarget target = new PlacementTarget(target(request), false);
         Optional<PlacementChoice> choice = router.policy.choose(router.table, chain, target, Set.of());
-        AdmissionDecision decision =
-                router.admission.decideInteractive(request.customer(), target, choice.orElseThrow(), clock.monotonicMillis());
+        AdmissionDecision decision = router.admission.decideInteractive(
+                request.customer(), target, choice.orElseThrow(), clock.monotonicMillis());
         if (kind.admits() && decision instanceof AdmissionDecision.Refuse) {
             refused++;
             return;
--- a/controller/src/main/java/org/hornbeamhead/controller/LoadSlots.java
+++ b/controller/src/main/java/org/hornbeamhead/controller/LoadSlots.java
@@ -45,7 +45,8 @@
 
     /** Tells how many loads a pool may have running. The pools of one process share by the order of their names. */
     int held(String pool) {
-        int left = (int) keepers.stream().filter(k -> k.validLease().isPresent()).count();
+        int left =
+                (int) keepers.stream().filter(k -> k.validLease().isPresent()).count();
         for (Map.Entry<String, Integer> entry : wanted.entrySet()) {
             int share = Math.min(left, entry.getValue());
             if (entry.getKey().equals(pool)) {
--- a/controller/src/main/java/org/hornbeamhead/controller/PoolControllers.java
+++ b/controller/src/main/java/org/hornbeamhead/controller/PoolControllers.java
@@ -71,7 +71,9 @@
     }
 
     long leasesHeld() {
-        return pools.values().stream().filter(p -> p.lease().validLease().isPresent()).count();
+        return pools.values().stream()
+                .filter(p -> p.lease().validLease().isPresent())
+                .count();
     }
 
     /** Looks at the configuration, the hosts and the pools whose lease this process seeks. */
--- a/fuzz/src/test/java/org/hornbeamhead/fuzz/FuzzTargets.java
+++ b/fuzz/src/test/java/org/hornbeamhead/fuzz/FuzzTargets.java
@@ -41,7 +41,9 @@
                     "HINTS",
                     FuzzTargets::hints,
                     latin(new LoadHint(
-                                    7, List.of(new LoadHint.ReplicaLoad(1, 2, 3, 4)), List.of(new LoadHint.SentRequest(5, 6, 7, 8)))
+                                    7,
+                                    List.of(new LoadHint.ReplicaLoad(1, 2, 3, 4)),
+                                    List.of(new LoadHint.SentRequest(5, 6, 7, 8)))
                             .encode())),
             // What routers tell one another of crashes.
             target("CRASH_NEWS", FuzzTargets::crashNews, "\u00c5\0\1\0\0\0\0\0\0\0\7\1\0\0\0\5\0\0\0\u0009\0\u0008"),
