--- a/soak/src/main/java/org/hornbeamhead/soak/Callers.java
+++ b/soak/src/main/java/org/hornbeamhead/soak/Callers.java
@@ -73,7 +73,7 @@
 
     private static List<Integer> addresses(RouterHandle router) {
         try {
-            return StandinCaller.addresses(router.directory());
+            return StandinCaller.resolvePorts(router.directory());
         } catch (IOException e) {
             logger.atFine().withCause(e).log("%s does not answer", router.name());
             return List.of();
@@ -114,8 +114,8 @@
             logger.atFine().withCause(e).log("request %s got no answer", id);
             answer = new StandinCaller.Answer(0, "", false, false);
         }
-        history.add(new History.Answered(id, answer.status(), answer.body(), answer.whole(), clock.millis()));
-        return answer.whole() && answer.keepsOpen();
+        history.add(new History.Answered(id, answer.status(), answer.body(), answer.complete(), clock.millis()));
+        return answer.complete() && answer.keepAlive();
     }
 
     private static void pause(Random random) {
--- a/soak/src/main/java/org/hornbeamhead/soak/CrashingCallers.java
+++ b/soak/src/main/java/org/hornbeamhead/soak/CrashingCallers.java
@@ -65,7 +65,7 @@
         String key = fleet.key(LASTING_KEY);
         history.add(new History.Asked(id, kind, key, router.name(), router.process(), clock.millis()));
         StandinCaller.Answer answer = ask(router, request(kind, number, id, key));
-        history.add(new History.Answered(id, answer.status(), answer.body(), answer.whole(), clock.millis()));
+        history.add(new History.Answered(id, answer.status(), answer.body(), answer.complete(), clock.millis()));
     }
 
     private static String request(RequestKind kind, int number, String id, String key) {
--- a/soak/src/main/java/org/hornbeamhead/soak/FaultDriver.java
+++ b/soak/src/main/java/org/hornbeamhead/soak/FaultDriver.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.hornbeamhead.platform.StandinLink;
 import org.hornbeamhead.platform.StandinLink.Mode;
-import org.hornbeamhead.platform.StandinStore.Mood;
+import org.hornbeamhead.platform.StandinStore.FaultMode;
 import org.hornbeamhead.soak.fault.FaultPlan.Fault;
 import org.hornbeamhead.soak.history.History;
 import org.hornbeamhead.soak.history.History.Disturbed;
@@ -102,18 +102,18 @@
 
     private void store(Fault f) throws InterruptedException {
         fleet.store()
-                .mood(
+                .setFaultMode(
                         switch (f.kind()) {
-                            case STORE_BUSY -> Mood.BUSY;
-                            case STORE_SILENT -> Mood.SILENT;
-                            default -> Mood.LOSING;
+                            case STORE_BUSY -> FaultMode.BUSY;
+                            case STORE_SILENT -> FaultMode.SILENT;
+                            default -> FaultMode.DROPPING_REPLIES;
                         });
         Thread.sleep(f.lasting());
-        fleet.store().mood(Mood.SOUND);
+        fleet.store().setFaultMode(FaultMode.HEALTHY);
     }
 
     private static void link(StandinLink link, Fault f) throws InterruptedException {
-        link.mode(
+        link.setMode(
                 switch (f.kind()) {
                     case STORE_LINK_RESET, REPLICA_RESET -> Mode.RESETTING;
                     case STORE_LINK_ONE_WAY -> Mode.ONE_WAY;
@@ -121,7 +121,7 @@
                     default -> Mode.SILENT;
                 });
         Thread.sleep(f.lasting());
-        link.mode(Mode.SOUND);
+        link.setMode(Mode.HEALTHY);
     }
 
     private void replica(Fault f) throws IOException, InterruptedException {
--- a/soak/src/main/java/org/hornbeamhead/soak/RouterHandle.java
+++ b/soak/src/main/java/org/hornbeamhead/soak/RouterHandle.java
@@ -28,7 +28,7 @@
     RouterHandle(String name, int storePort, Path directory, String... seeds) throws IOException {
         this.name = name;
         for (int i = 0; i < PORTS; i++) {
-            ports[i] = StandinPorts.free();
+            ports[i] = StandinPorts.drawFreePort();
         }
         log = directory.resolve(name + ".log");
         Path settings = directory.resolve(name + ".ini");
--- a/soak/src/main/java/org/hornbeamhead/soak/SoakFleet.java
+++ b/soak/src/main/java/org/hornbeamhead/soak/SoakFleet.java
@@ -50,7 +50,7 @@
         this.history = history;
         this.clock = clock;
         this.directory = directory;
-        store.put(StandinDocuments.weightsKey(), StandinDocuments.weights(weights));
+        store.put(StandinDocuments.weightsKey(), StandinDocuments.weightsDocument(weights));
         configure();
         for (int i = 0; i < settings.replicas(); i++) {
             add(i % 2 == 0 ? ENGINES : PLAIN_SERVICES.get(i / 2 % PLAIN_SERVICES.size()), settings.seed() + i);
@@ -133,7 +133,7 @@
     }
 
     synchronized void nameWeights() {
-        store.put(StandinDocuments.weightsKey(), StandinDocuments.weights(++weights));
+        store.put(StandinDocuments.weightsKey(), StandinDocuments.weightsDocument(++weights));
     }
 
     /** A replica leaves: it says so, another comes, and after the grace it is gone. */
--- a/soak/src/main/java/org/hornbeamhead/soak/SoakReplica.java
+++ b/soak/src/main/java/org/hornbeamhead/soak/SoakReplica.java
@@ -73,30 +73,31 @@
         grey = now;
     }
 
-    private void work(StandinReplica.Seen r, StandinReplica.Connection to) throws IOException, InterruptedException {
+    private void work(StandinReplica.ReceivedRequest r, StandinReplica.Connection to)
+            throws IOException, InterruptedException {
         boolean fails = grey && random.nextInt(GREY_ONE_IN) == 0;
         int how = random.nextInt(Failure.values().length);
         Failure failure = fails ? Failure.values()[how] : Failure.NONE;
         boolean runs = failure != Failure.REFUSES;
-        history.add(
-                new History.Arrived(r.id(), id(), service, r.customer(), r.salt(), r.weights(), runs, clock.millis()));
+        history.add(new History.Arrived(
+                r.id(), id(), service, r.customer(), r.cacheSalt(), r.expectedWeights(), runs, clock.millis()));
         if (runs && CrashingCallers.content(r.head()).isPresent()) {
             end(r);
             return;
         }
         Thread.sleep(random.nextInt(MAX_WORK_MILLIS));
         if (failure == Failure.REFUSES) {
-            to.write(StandinReplica.unrun(503));
+            to.write(StandinReplica.notExecuted(503));
         } else if (failure == Failure.LOSES) {
             to.reset();
-        } else if (r.salt().isEmpty()) {
+        } else if (r.cacheSalt().isEmpty()) {
             answer(r, to, failure);
         } else {
             stream(r, to, failure);
         }
     }
 
-    private void end(StandinReplica.Seen r) throws InterruptedException {
+    private void end(StandinReplica.ReceivedRequest r) throws InterruptedException {
         Thread.sleep(END_MILLIS);
         String content = CrashingCallers.content(r.head()).orElseThrow();
         history.add(new History.Ended(content, r.id(), id(), clock.millis()));
@@ -111,7 +112,7 @@
         ANSWERS_TWICE
     }
 
-    private static void answer(StandinReplica.Seen r, StandinReplica.Connection to, Failure failure)
+    private static void answer(StandinReplica.ReceivedRequest r, StandinReplica.Connection to, Failure failure)
             throws IOException {
         String whole = StandinReplica.ok(r, RequestKind.SAFE.answer(r.id()));
         if (failure == Failure.BREAKS_OFF) {
@@ -123,10 +124,10 @@
         }
     }
 
-    private static void stream(StandinReplica.Seen r, StandinReplica.Connection to, Failure failure)
+    private static void stream(StandinReplica.ReceivedRequest r, StandinReplica.Connection to, Failure failure)
             throws IOException, InterruptedException {
         to.write(StandinReplica.streamHead(r));
-        for (int e = r.lastEvent() + 1; e <= RequestKind.events(); e++) {
+        for (int e = r.lastEventId() + 1; e <= RequestKind.events(); e++) {
             String event = RequestKind.event(r.id(), e);
             if (failure == Failure.BREAKS_OFF && e == RequestKind.events() / 2) {
                 to.write(StandinReplica.chunk(event.substring(0, event.length() / 2)))
