--- a/gateway/src/main/java/org/hornbeamhead/gateway/RouterProcess.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/RouterProcess.java
@@ -64,7 +64,7 @@
     private final WeightsView weights;
     private final WeightsListener weightsListener;
     private final RouterList routers;
-    private final ActiveRouters workingRouters;
+    private final ActiveRouters activeRouters;
     private final RouterRegistration presence;
     private final SuspensionDetector suspensionWatch;
     private final StoreView storeView;
@@ -106,7 +106,7 @@
         weights = new WeightsView(settings.supersededWeightsLimit().toMillis());
         weightsListener = new WeightsListener(clock, mirror, state, weights);
         routers = new RouterList(settings.self(), this::isReady, clock);
-        workingRouters = new ActiveRouters(routers::count);
+        activeRouters = new ActiveRouters(routers::count);
         presence = new RouterRegistration(reactor, ports.store(), settings.self());
         suspensionWatch = new SuspensionDetector(daemon.timers(), clock, this::onSuspension);
         storeView = new StoreView(new StoreView.Parts(
@@ -123,7 +123,7 @@
                 this::peerAddresses,
                 HttpMirrorClient.forReaders(reactor),
                 HttpMirrorClient.forPeers(reactor)));
-        notifier = new PeerChangeNotifier(reactor, clock, this::workingPeerAddresses, weights, registry);
+        notifier = new PeerChangeNotifier(reactor, clock, this::activePeerAddresses, weights, registry);
         leaderTasks = new LeaderTasks(
                 new LeaderTasks.Dependencies(
                         daemon.timers(), clock, registry, weights, ports.orders(), ports.store(), mirror, notifier),
@@ -144,16 +144,10 @@
                 settings.self().dataCentre(),
                 !settings.firstStart(),
                 settings.budget(),
-                workingRouters,
+                activeRouters,
                 quarantine));
         workHints = new WorkHints(
-                reactor,
-                clock,
-                registry,
-                routers::hintAddresses,
-                workingRouters,
-                datagrams,
-                dispatcher::recordPeerSend);
+                reactor, clock, registry, routers::hintAddresses, activeRouters, datagrams, dispatcher::recordPeerSend);
         dispatcher.setWorkHints(workHints);
         callerFront = new CallerServer(reactor, this::handle, this::callerLimits, metrics);
         shutdown = new Shutdown(daemon, callerFront, presence, leaderTasks, settings.grace());
@@ -168,7 +162,7 @@
                 ports.store(),
                 registry,
                 datagrams,
-                new CrashGossip.Peers(this::workingHintAddresses, routers::hintAddresses),
+                new CrashGossip.Peers(this::activeHintAddresses, routers::hintAddresses),
                 metrics);
     }
 
@@ -194,12 +188,12 @@
         return routers.peerAddresses(settings.seeds());
     }
 
-    private List<String> workingPeerAddresses() {
-        return routers.peerAddressesForHints(workingHintAddresses(), settings.seeds());
+    private List<String> activePeerAddresses() {
+        return routers.peerAddressesForHints(activeHintAddresses(), settings.seeds());
     }
 
-    private List<String> workingHintAddresses() {
-        return workingRouters.activePeers(clock.monotonicMillis());
+    private List<String> activeHintAddresses() {
+        return activeRouters.activePeers(clock.monotonicMillis());
     }
 
     /**
@@ -363,6 +357,6 @@
      * @return the addresses
      */
     public List<String> callerAddresses(int limit) {
-        return routers.callerAddresses(limit, workingRouters.fleetRate(clock.monotonicMillis()));
+        return routers.callerAddresses(limit, activeRouters.fleetRate(clock.monotonicMillis()));
     }
 }
