--- a/core/src/main/java/org/hornbeamhead/core/crash/CrashGossip.java
+++ b/core/src/main/java/org/hornbeamhead/core/crash/CrashGossip.java
@@ -32,9 +32,9 @@
     private static final long MIN_ROUND_INTERVAL_MILLIS = 20;
 
     private static final long ANTI_ENTROPY_INTERVAL_MILLIS = 2_000;
-    /** Peers with work chosen per round; the request is likely to reach one of them next. */
-    private static final int WORKING_PEERS_PER_ROUND = 4;
-    /** Peers chosen per round from all routers, with or without work. */
+    /** Active peers chosen per round; the request is likely to reach one of them next. */
+    private static final int ACTIVE_PEERS_PER_ROUND = 4;
+    /** Peers chosen per round from all routers, active or not. */
     private static final int RANDOM_PEERS_PER_ROUND = 2;
 
     private final CrashHistory history;
@@ -53,10 +53,10 @@
     /**
      * The routers that datagrams can be sent to.
      *
-     * @param working the addresses of the other routers known to have work
+     * @param active the addresses of the other routers known to be active
      * @param all the addresses of all other routers
      */
-    public record Peers(Supplier<List<String>> working, Supplier<List<String>> all) {}
+    public record Peers(Supplier<List<String>> active, Supplier<List<String>> all) {}
 
     /**
      * Creates a gossip node. It starts sending when the history first changes.
@@ -157,7 +157,7 @@
 
     private List<String> selectPeers() {
         return Stream.concat(
-                        sample(peers.working().get(), WORKING_PEERS_PER_ROUND),
+                        sample(peers.active().get(), ACTIVE_PEERS_PER_ROUND),
                         sample(peers.all().get(), RANDOM_PEERS_PER_ROUND))
                 .distinct()
                 .toList();
--- a/core/src/main/java/org/hornbeamhead/core/engine/EngineCandidate.java
+++ b/core/src/main/java/org/hornbeamhead/core/engine/EngineCandidate.java
@@ -10,7 +10,7 @@
  * @param load the work at the engine
  * @param memoryTokens the number of tokens that fit into its memory
  * @param slots the number of requests that it runs at once
- * @param superseded whether answers on these weights are worth less, since newer ones were named some time ago
+ * @param superseded whether answers on these weights are worth less, since newer ones were published some time ago
  * @param usableMillis how long requests may still start on these weights, in milliseconds
  * @param weightChangePending whether it is about to change its weights, so that new requests would be rejected or delay
  *     it
--- a/core/src/main/java/org/hornbeamhead/core/entry/ActiveRouters.java
+++ b/core/src/main/java/org/hornbeamhead/core/entry/ActiveRouters.java
@@ -6,7 +6,7 @@
 import java.util.function.IntSupplier;
 
 /**
- * Tracks which routers have work now, how much, and this router's share of fleet-wide limits.
+ * Tracks which routers are active, their request rates, and this router's share of fleet-wide limits.
  *
  * <p>Callers may use only eight of 63 routers. If a limit were divided by all of them, a router with an eighth of the
  * work could open a sixty-third of the connections and retry two requests in ten seconds. Half of each limit is
--- a/core/src/main/java/org/hornbeamhead/core/membership/GossipLimits.java
+++ b/core/src/main/java/org/hornbeamhead/core/membership/GossipLimits.java
@@ -23,7 +23,7 @@
                 || indirectProbes < 0
                 || fanout <= 0) {
             throw new IllegalArgumentException(
-                    "gossip limits must be positive, with a period longer than the acknowledgement timeout");
+                    "gossip limits must be positive (indirectProbes may be 0), the period longer than the ack timeout");
         }
     }
 }
--- a/core/src/main/java/org/hornbeamhead/core/weights/RolloutPlan.java
+++ b/core/src/main/java/org/hornbeamhead/core/weights/RolloutPlan.java
@@ -9,8 +9,8 @@
  * Decides which replicas change their weights next: those with the least work first, as many at once as the others can
  * replace.
  *
- * <p>Weights may be named often. Answers on superseded weights soon lose value, so a rollout to all replicas must be
- * short; but each replica that changes accepts no requests, waits for its running ones, and restarts with an empty
+ * <p>Weights may be published often. Answers on superseded weights soon lose value, so a rollout to all replicas must
+ * be short; but each replica that changes accepts no requests, waits for its running ones, and restarts with an empty
  * cache.
  *
  * @param parallelLoads the number of loads that run in parallel without slowing down, however few replicas there are,
@@ -73,7 +73,7 @@
      * Selects the replicas to change next.
      *
      * @param replicas the replicas that accept orders, including those that are done
-     * @param target the named version
+     * @param target the target version
      * @param changing the replicas that were ordered and have not finished
      * @param changeMillis how long a replica takes from its order to the new weights, in milliseconds
      * @return the replicas to order now, in order
--- a/core/src/test/java/org/hornbeamhead/core/crash/CrashGossipTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/crash/CrashGossipTest.java
@@ -21,8 +21,8 @@
 
     /** If routers did not share their counts, a request could crash three replicas per router. */
     @Test(dataProvider = "fleets")
-    public void allRoutersQuarantineWithinOneSecond(int count, int working, double loss) {
-        GossipingRouters routers = new GossipingRouters(count, working, loss);
+    public void allRoutersQuarantineWithinOneSecond(int count, int activeCount, double loss) {
+        GossipingRouters routers = new GossipingRouters(count, activeCount, loss);
         recordCrashes(routers, "r0", "r1", "r" + (count - 1));
         routers.timers.advance(MAX_PROPAGATION_MILLIS);
         assertEquals(quarantiningRouters(routers), count);
@@ -30,8 +30,8 @@
 
     /** Limits the datagrams of the busiest router, both for new reports and later, whatever the size of the fleet. */
     @Test(dataProvider = "fleets")
-    public void datagramsPerRouterDoNotGrowWithFleetSize(int count, int working, double loss) {
-        GossipingRouters routers = new GossipingRouters(count, working, loss);
+    public void datagramsPerRouterDoNotGrowWithFleetSize(int count, int activeCount, double loss) {
+        GossipingRouters routers = new GossipingRouters(count, activeCount, loss);
         recordCrashes(routers, "r0", "r1", "r0");
         routers.timers.advance(3_000);
         assertTrue(maxSent(routers) <= 150, "datagrams sent by one router: " + maxSent(routers));
--- a/core/src/test/java/org/hornbeamhead/core/crash/GossipingRouters.java
+++ b/core/src/test/java/org/hornbeamhead/core/crash/GossipingRouters.java
@@ -23,20 +23,20 @@
     private final double loss;
     BiPredicate<String, String> reachable = (from, to) -> true;
 
-    GossipingRouters(int count, int working, double loss) {
+    GossipingRouters(int count, int activeCount, double loss) {
         this.names = IntStream.range(0, count).mapToObj(i -> "r" + i).toList();
         this.loss = loss;
-        names.forEach(name -> start(name, working));
+        names.forEach(name -> start(name, activeCount));
     }
 
-    void start(String name, int working) {
+    void start(String name, int activeCount) {
         CrashHistory history = new CrashHistory(clock);
         CrashGossip gossip = new CrashGossip(
                 history,
                 clock,
                 timers,
                 random,
-                new CrashGossip.Peers(() -> peersOf(name, working), () -> peersOf(name, names.size())),
+                new CrashGossip.Peers(() -> peersOf(name, activeCount), () -> peersOf(name, names.size())),
                 (to, bytes) -> send(name, to, bytes));
         history.setListener(gossip::reportChanged);
         historyByRouter.put(name, history);
--- a/core/src/test/java/org/hornbeamhead/core/entry/ActiveRoutersTest.java
+++ b/core/src/test/java/org/hornbeamhead/core/entry/ActiveRoutersTest.java
@@ -27,7 +27,7 @@
     }
 
     /**
-     * Guards against failed requests when an engine is lost and each of the few routers with work may retry only two
+     * Guards against failed requests when an engine is lost and each of the few active routers may retry only two
      * requests in ten seconds. With eight of 63 routers active, each has a sixteenth of the limit and its share of the
      * half that is divided by all.
      */
--- a/gateway/src/main/java/org/hornbeamhead/gateway/PlatformDocumentParser.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/PlatformDocumentParser.java
@@ -11,7 +11,7 @@
     enum Kind {
         /** The operators' configuration. */
         CONFIGURATION,
-        /** The target version of a model's weights. */
+        /** A published version of a model's weights. */
         WEIGHTS,
         /** A replica's entry. */
         REPLICA,
@@ -20,12 +20,12 @@
     }
 
     /**
-     * The target version of a model's weights, as set by operators.
+     * A version of a model's weights that operators published.
      *
      * @param model the model
      * @param version the version
      */
-    record TargetWeights(String model, long version) {}
+    record PublishedWeights(String model, long version) {}
 
     /**
      * Returns the kind of the item that is stored under a key.
@@ -44,12 +44,12 @@
     Either<String, RoutingConfig> parseConfiguration(StoreItem item);
 
     /**
-     * Parses a target version of weights.
+     * Parses a published version of weights.
      *
      * @param item the item
      * @return the version, or a description of what is invalid
      */
-    Either<String, TargetWeights> parseWeights(StoreItem item);
+    Either<String, PublishedWeights> parseWeights(StoreItem item);
 
     /**
      * Parses a replica's entry.
--- a/gateway/src/main/java/org/hornbeamhead/gateway/RouterProcess.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/RouterProcess.java
@@ -33,6 +33,7 @@
 import org.hornbeamhead.gateway.quarantine.Quarantine;
 import org.hornbeamhead.gateway.replica.ReplicaRegistry;
 import org.hornbeamhead.gateway.state.HttpMirrorClient;
+import org.hornbeamhead.gateway.state.LoadHints;
 import org.hornbeamhead.gateway.state.MirrorServer;
 import org.hornbeamhead.gateway.state.PeerDatagrams;
 import org.hornbeamhead.gateway.state.PlatformStore;
@@ -44,7 +45,6 @@
 import org.hornbeamhead.gateway.state.SuspensionDetector;
 import org.hornbeamhead.gateway.state.WeightsListener;
 import org.hornbeamhead.gateway.state.WeightsView;
-import org.hornbeamhead.gateway.state.WorkHints;
 
 /** A router process: creates and connects its components, which run on one reactor. */
 public final class RouterProcess {
@@ -65,16 +65,16 @@
     private final WeightsListener weightsListener;
     private final RouterList routers;
     private final ActiveRouters activeRouters;
-    private final RouterRegistration presence;
-    private final SuspensionDetector suspensionWatch;
+    private final RouterRegistration registration;
+    private final SuspensionDetector suspensionDetector;
     private final StoreView storeView;
     private final PeerChangeNotifier notifier;
     private final LeaderTasks leaderTasks;
     private final PeerDatagrams datagrams;
     private final Quarantine quarantine;
     private final Dispatcher dispatcher;
-    private final WorkHints workHints;
-    private final CallerServer callerFront;
+    private final LoadHints loadHints;
+    private final CallerServer callerServer;
     private final Shutdown shutdown;
 
     /**
@@ -82,11 +82,14 @@
      *
      * @param store the platform's store
      * @param documents parses the items in the store
-     * @param dialect the header fields of callers and replicas
+     * @param headerCodec the header fields of callers and replicas
      * @param orders sends orders to replicas
      */
     public record Ports(
-            PlatformStore store, PlatformDocumentParser documents, HeaderCodec dialect, ReplicaOrderClient orders) {}
+            PlatformStore store,
+            PlatformDocumentParser documents,
+            HeaderCodec headerCodec,
+            ReplicaOrderClient orders) {}
 
     /**
      * Creates a router.
@@ -107,9 +110,9 @@
         weightsListener = new WeightsListener(clock, mirror, state, weights);
         routers = new RouterList(settings.self(), this::isReady, clock);
         activeRouters = new ActiveRouters(routers::count);
-        presence = new RouterRegistration(reactor, ports.store(), settings.self());
-        suspensionWatch = new SuspensionDetector(daemon.timers(), clock, this::onSuspension);
-        storeView = new StoreView(new StoreView.Parts(
+        registration = new RouterRegistration(reactor, ports.store(), settings.self());
+        suspensionDetector = new SuspensionDetector(daemon.timers(), clock, this::onSuspension);
+        storeView = new StoreView(new StoreView.Dependencies(
                 daemon.timers(),
                 clock,
                 random,
@@ -117,7 +120,7 @@
                 mirror,
                 state,
                 weights,
-                suspensionWatch,
+                suspensionDetector,
                 routers,
                 settings.self().node(),
                 this::peerAddresses,
@@ -131,11 +134,11 @@
                 routers,
                 state);
         datagrams = new PeerDatagrams(reactor);
-        quarantine = new Quarantine(quarantineParts(ports, random));
+        quarantine = new Quarantine(quarantineDependencies(ports, random));
         dispatcher = new Dispatcher(new Dispatcher.Dependencies(
                 reactor,
                 clock,
-                ports.dialect(),
+                ports.headerCodec(),
                 state,
                 registry,
                 weights,
@@ -146,15 +149,15 @@
                 settings.budget(),
                 activeRouters,
                 quarantine));
-        workHints = new WorkHints(
+        loadHints = new LoadHints(
                 reactor, clock, registry, routers::hintAddresses, activeRouters, datagrams, dispatcher::recordPeerSend);
-        dispatcher.setWorkHints(workHints);
-        callerFront = new CallerServer(reactor, this::handle, this::callerLimits, metrics);
-        shutdown = new Shutdown(daemon, callerFront, presence, leaderTasks, settings.grace());
+        dispatcher.setLoadHints(loadHints);
+        callerServer = new CallerServer(reactor, this::handle, this::callerLimits, metrics);
+        shutdown = new Shutdown(daemon, callerServer, registration, leaderTasks, settings.grace());
         mirror.addListener(this::onStoreChange);
     }
 
-    private Quarantine.Dependencies quarantineParts(Ports ports, Random random) {
+    private Quarantine.Dependencies quarantineDependencies(Ports ports, Random random) {
         return new Quarantine.Dependencies(
                 clock,
                 daemon.timers(),
@@ -202,23 +205,23 @@
      * @throws IOException when an address cannot be bound
      */
     public void start() throws IOException {
-        callerFront.listen(settings.callerAddress());
+        callerServer.listen(settings.callerAddress());
         daemon.listen(settings.peerAddress(), this::handlePeerRequest);
         if (settings.metricsAddress().getPort() != 0) {
             daemon.listen(settings.metricsAddress(), request -> metrics.scrape());
         }
-        metrics.gauge("hornbeam_requests_in_flight", callerFront::inFlight);
-        metrics.gauge("hornbeam_caller_connections", callerFront::connectionCount);
+        metrics.gauge("hornbeam_requests_in_flight", callerServer::inFlight);
+        metrics.gauge("hornbeam_caller_connections", callerServer::connectionCount);
         metrics.gauge("hornbeam_replicas", () -> registry.all().size());
         metrics.gauge("hornbeam_store_away", () -> storeView.isDisconnected() ? 1 : 0);
         metrics.gauge("hornbeam_reads_store", () -> storeView.readsStore() ? 1 : 0);
         metrics.gauge("hornbeam_uncaught_errors", daemon::uncaughtErrors);
         quarantine.start();
         datagrams.start(settings.hintAddress());
-        workHints.start();
+        loadHints.start();
         storeView.start();
-        presence.start();
-        suspensionWatch.start();
+        registration.start();
+        suspensionDetector.start();
         leaderTasks.start();
         daemon.onSignal(shutdown::start);
         logger.atInfo()
@@ -261,7 +264,7 @@
             return true;
         }
         if (item.key().equals(CrashHistoryPersister.KEY)) {
-            quarantine.readArchive(item);
+            quarantine.mergeStoredHistory(item);
             return true;
         }
         switch (documents.kind(item.key())) {
@@ -272,8 +275,8 @@
             case WEIGHTS -> documents
                     .parseWeights(item)
                     .peekLeft(reason -> logUnreadable(item, reason))
-                    .forEach(target ->
-                            weightsListener.versionPublished(target.model(), target.version(), item.revision()));
+                    .forEach(published ->
+                            weightsListener.versionPublished(published.model(), published.version(), item.revision()));
             case REPLICA -> {
                 return applyReplicaChange(item);
             }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/Shutdown.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/Shutdown.java
@@ -38,16 +38,21 @@
     private static final long CHECK_INTERVAL_MILLIS = 50;
 
     private final Daemon daemon;
-    private final CallerServer front;
-    private final RouterRegistration presence;
+    private final CallerServer callerServer;
+    private final RouterRegistration registration;
     private final LeaderTasks leaderTasks;
     private final long graceMillis;
     private long startedAt = -1;
 
-    Shutdown(Daemon daemon, CallerServer front, RouterRegistration presence, LeaderTasks leaderTasks, Duration grace) {
+    Shutdown(
+            Daemon daemon,
+            CallerServer callerServer,
+            RouterRegistration registration,
+            LeaderTasks leaderTasks,
+            Duration grace) {
         this.daemon = daemon;
-        this.front = front;
-        this.presence = presence;
+        this.callerServer = callerServer;
+        this.registration = registration;
         this.leaderTasks = leaderTasks;
         this.graceMillis = grace.toMillis();
     }
@@ -73,8 +78,8 @@
         }
         startedAt = daemon.clock().monotonicMillis();
         logger.atInfo().with(Logs.DECISION, "stopping").log("shutdown started, requests in progress are finished");
-        front.drain();
-        presence.deregister();
+        callerServer.drain();
+        registration.deregister();
         leaderTasks.stop(
                 Math.max(0, Math.min(MIN_LISTEN_MILLIS, graceMillis - EXIT_MARGIN_MILLIS) - HANDOVER_MARGIN_MILLIS));
         checkFinished();
@@ -82,13 +87,13 @@
 
     private void checkFinished() {
         long elapsedMillis = daemon.clock().monotonicMillis() - startedAt;
-        boolean done = elapsedMillis > MIN_LISTEN_MILLIS && front.inFlight() == 0;
+        boolean done = elapsedMillis > MIN_LISTEN_MILLIS && callerServer.inFlight() == 0;
         if (done || elapsedMillis > graceMillis - EXIT_MARGIN_MILLIS) {
-            front.stopListening();
-            front.closeIdle();
+            callerServer.stopListening();
+            callerServer.closeIdle();
             logger.atInfo()
                     .with(Logs.DECISION, "stopped")
-                    .with(Logs.INPUTS, "inFlight=" + front.inFlight() + " afterMillis=" + elapsedMillis)
+                    .with(Logs.INPUTS, "inFlight=" + callerServer.inFlight() + " afterMillis=" + elapsedMillis)
                     .log("shutdown finished");
             daemon.reactor().delayBackground(CHECK_INTERVAL_MILLIS, daemon::end);
             return;
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Dispatcher.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Dispatcher.java
@@ -29,9 +29,9 @@
 import org.hornbeamhead.gateway.quarantine.Quarantine;
 import org.hornbeamhead.gateway.replica.LiveReplica;
 import org.hornbeamhead.gateway.replica.ReplicaRegistry;
+import org.hornbeamhead.gateway.state.LoadHints;
 import org.hornbeamhead.gateway.state.RoutingState;
 import org.hornbeamhead.gateway.state.WeightsView;
-import org.hornbeamhead.gateway.state.WorkHints;
 
 /**
  * Handles requests of callers: decodes each request, finds its route and customer, and starts an exchange with
@@ -76,7 +76,7 @@
     private final ActiveRouters routers;
     private final Quarantine quarantine;
     private final InFlightRequests inFlight = new InFlightRequests();
-    private WorkHints workHints;
+    private LoadHints loadHints;
     private final Map<String, SharedRetryBudget> budgets = new HashMap<>();
 
     /**
@@ -231,7 +231,7 @@
 
     void recordEngineSend(LiveReplica replica, EngineChoice choice) {
         recordSend(replica, choice.prefixHash(), choice.storeMillis());
-        workHints.recordSent(replica, choice);
+        loadHints.recordSent(replica, choice);
     }
 
     /**
@@ -251,10 +251,10 @@
     /**
      * Sets the channel that announces the requests of this router to other routers.
      *
-     * @param hints the channel
+     * @param loadHints the channel
      */
-    public void setWorkHints(WorkHints hints) {
-        workHints = hints;
+    public void setLoadHints(LoadHints loadHints) {
+        this.loadHints = loadHints;
     }
 
     /**
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Exchange.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Exchange.java
@@ -184,12 +184,12 @@
         if (finished) {
             return;
         }
-        ForwardingState.RetryConditions retryOptions = new ForwardingState.RetryConditions(
+        ForwardingState.RetryConditions conditions = new ForwardingState.RetryConditions(
                 timeLeftMillis() >= MIN_TIME_LEFT_MILLIS,
                 dispatcher.targetSelector().hasUntried(serviceRequest.service(), tried),
                 () -> dispatcher.takeRetry(serviceRequest.service().name()));
         reportLoss(end, replica, sentAt);
-        NextStep step = forwarding.nextStep(end, retryOptions);
+        NextStep step = forwarding.nextStep(end, conditions);
         dispatcher.metrics().count("hornbeam_attempts_failed", "end", end.name());
         logger.atInfo()
                 .with(Logs.REQUEST, serviceRequest.callerRequest().id())
@@ -207,13 +207,13 @@
 
     private void reportLoss(AttemptOutcome end, LiveReplica replica, long sentAt) {
         if (end == AttemptOutcome.BROKEN) {
-            dispatcher.quarantine().connectionBroken(lostRun(sentAt), replica);
+            dispatcher.quarantine().connectionBroken(lostAttempt(sentAt), replica);
         } else if (end == AttemptOutcome.SILENT) {
-            dispatcher.quarantine().replicaSilent(lostRun(sentAt), replica);
+            dispatcher.quarantine().replicaSilent(lostAttempt(sentAt), replica);
         }
     }
 
-    private LostAttempt lostRun(long sentAt) {
+    private LostAttempt lostAttempt(long sentAt) {
         return new LostAttempt(fingerprint(), sentAt, dispatcher.clock().monotonicMillis());
     }
 
@@ -273,7 +273,7 @@
                 dispatcher
                         .quarantine()
                         .replicaSilent(
-                                lostRun(attempt.sentAt()), attempt.target().replica());
+                                lostAttempt(attempt.sentAt()), attempt.target().replica());
             }
             attempt.cancel();
             attempt = null;
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/TargetSelector.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/TargetSelector.java
@@ -97,7 +97,7 @@
                         r.entry().slots(),
                         weights.isPenalized(prompt.model(), r.weightsVersion(prompt.model()), now),
                         weights.usableMillis(prompt.model(), r.weightsVersion(prompt.model()), now),
-                        weights.isAvoided(r.entry().run(), now)))
+                        weights.isWeightChangePending(r.entry().run(), now)))
                 .toList();
         String isolatedCustomer =
                 owner.filter(KeyOwner::isolated).map(KeyOwner::customer).orElse("");
--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/WeightsExpiryMonitor.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/WeightsExpiryMonitor.java
@@ -11,8 +11,8 @@
 /**
  * Cancels requests that are still queued at an engine when the weights version they would run on expires.
  *
- * <p>Weights can be replaced, or turn out to have been replaced earlier, while a request is queued at an engine; the
- * request would then start on expired weights. No expiry time known at sending is right for the whole wait, so the
+ * <p>Weights can be superseded, or turn out to have been superseded earlier, while a request is queued at an engine;
+ * the request would then start on expired weights. No expiry time known at sending is right for the whole wait, so the
  * remaining time is checked repeatedly until the request starts, independently of all other timeouts.
  *
  * <p>All requests for the same weights version are checked together by one timer, so the cost of a check depends on the
--- a/gateway/src/main/java/org/hornbeamhead/gateway/duty/OrderTracker.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/duty/OrderTracker.java
@@ -30,7 +30,7 @@
     private static final long UNRESPONSIVE_REPORT_INTERVAL_MILLIS = 250;
 
     private final Clock clock;
-    private final ReplicaOrderClient client;
+    private final ReplicaOrderClient orderClient;
     private final LeaderLease lease;
     private final String self;
     private final Consumer<String> onRefused;
@@ -41,14 +41,15 @@
      * Creates a tracker.
      *
      * @param clock the clock
-     * @param client sends orders to replicas
+     * @param orderClient sends orders to replicas
      * @param lease the leader lease
      * @param self this router's name
      * @param onRefused called with each run of a replica that refuses its order
      */
-    OrderTracker(Clock clock, ReplicaOrderClient client, LeaderLease lease, String self, Consumer<String> onRefused) {
+    OrderTracker(
+            Clock clock, ReplicaOrderClient orderClient, LeaderLease lease, String self, Consumer<String> onRefused) {
         this.clock = clock;
-        this.client = client;
+        this.orderClient = orderClient;
         this.lease = lease;
         this.self = self;
         this.onRefused = onRefused;
@@ -79,7 +80,7 @@
     private void requestReport(LiveReplica replica, WeightsChange change) {
         change.reportRequestedAt = now();
         change.reportPending = true;
-        client.fetchReport(replica.entry()).subscribe((report, e) -> {
+        orderClient.fetchReport(replica.entry()).subscribe((report, e) -> {
             change.reportPending = false;
             change.unresponsive = e != null;
             if (e == null) {
@@ -111,7 +112,8 @@
                 .with(Logs.DECISION, "weights ordered")
                 .with(Logs.INPUTS, order.toString())
                 .log("order to serve version %d", change.version);
-        client.sendOrder(replica.entry(), order)
+        orderClient
+                .sendOrder(replica.entry(), order)
                 .subscribe((reply, e) -> onReply(replica, change, ordersBefore, reply, e));
     }
 
--- a/gateway/src/main/java/org/hornbeamhead/gateway/duty/PeerChangeNotifier.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/duty/PeerChangeNotifier.java
@@ -24,7 +24,7 @@
 import org.hornbeamhead.gateway.state.WeightsView;
 
 /**
- * Announces to the routers that have work which replicas are about to change their weights and which have done so.
+ * Announces to the active routers which replicas are about to change their weights and which have done so.
  *
  * <p>A replica that waits for its requests in progress refuses new ones. Without an announcement, routers would learn
  * this from one refusal after the other, and each change of weights would use up the retry budget. A lost announcement
@@ -67,7 +67,7 @@
 
     @Override
     public void announce(Set<String> changing, Map<String, Long> changed) {
-        weights.avoid(changing, clock.monotonicMillis());
+        weights.setPendingWeightChanges(changing, clock.monotonicMillis());
         ObjectNode tree = Json.object();
         ArrayNode changingNode = tree.putArray("changing");
         changing.forEach(changingNode::add);
@@ -91,7 +91,7 @@
     private Promise<HttpResponse> apply(JsonNode tree) {
         Set<String> changing = new HashSet<>();
         tree.path("changing").forEach(node -> changing.add(node.asText()));
-        weights.avoid(changing, clock.monotonicMillis());
+        weights.setPendingWeightChanges(changing, clock.monotonicMillis());
         tree.path("changed").fields().forEachRemaining(field -> registry.byRun(field.getKey())
                 .ifPresent((LiveReplica replica) ->
                         replica.observeVersion(field.getValue().asLong())));
--- a/gateway/src/main/java/org/hornbeamhead/gateway/quarantine/CrashDetector.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/quarantine/CrashDetector.java
@@ -55,7 +55,7 @@
      *
      * @param clock the clock
      * @param timers the timers of the current thread
-     * @param onCrash receives each request run that was lost in a crash, and the replica
+     * @param onCrash receives each attempt that was lost in a crash, and the replica
      */
     public CrashDetector(Clock clock, Timers timers, BiConsumer<LostAttempt, LiveReplica> onCrash) {
         this.clock = clock;
@@ -66,18 +66,18 @@
     /**
      * Records that the connection of a request broke.
      *
-     * @param run the lost run
+     * @param attempt the lost attempt
      * @param replica the replica that ran it
      */
-    public void connectionBroken(LostAttempt run, LiveReplica replica) {
+    public void connectionBroken(LostAttempt attempt, LiveReplica replica) {
         if (replica.entry().draining()) {
             return;
         }
         LostRequests lost = lostRequests(replica);
         if (lost.crashed) {
-            onCrash.accept(run, replica);
+            onCrash.accept(attempt, replica);
         } else if (lost.broken.size() < MAX_REQUESTS) {
-            lost.broken.putIfAbsent(run.request(), run);
+            lost.broken.putIfAbsent(attempt.request(), attempt);
             lost.recheckNeeded = true;
             if (!lost.checking) {
                 checkTwice(replica, lost);
@@ -105,18 +105,18 @@
     /**
      * Records that a request was abandoned while its replica was silent; the process may have ended without a sign.
      *
-     * @param run the lost run
+     * @param attempt the lost attempt
      * @param replica the replica that ran it
      */
-    public void replicaSilent(LostAttempt run, LiveReplica replica) {
+    public void replicaSilent(LostAttempt attempt, LiveReplica replica) {
         if (replica.entry().draining()) {
             return;
         }
         LostRequests lost = lostRequests(replica);
         if (lost.crashed) {
-            onCrash.accept(run, replica);
+            onCrash.accept(attempt, replica);
         } else if (lost.silent.size() < MAX_REQUESTS) {
-            lost.silent.putIfAbsent(run.request(), run);
+            lost.silent.putIfAbsent(attempt.request(), attempt);
             if (lost.lastLossAt - lost.lastSilentCheckAt >= SILENT_CHECK_INTERVAL_MILLIS) {
                 lost.lastSilentCheckAt = lost.lastLossAt;
                 checkProcess(replica, lost, lost.silent::clear);
@@ -169,7 +169,7 @@
                 .with(Logs.REASON, reason)
                 .with(Logs.INPUTS, "requestsUnderWay=" + lost.broken.keySet())
                 .log("replica process ended: %s", replica.entry().id());
-        lost.broken.values().forEach(run -> onCrash.accept(run, replica));
+        lost.broken.values().forEach(attempt -> onCrash.accept(attempt, replica));
         lost.broken.clear();
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/quarantine/Quarantine.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/quarantine/Quarantine.java
@@ -31,7 +31,7 @@
 
     private final CrashHistory history;
     private final CrashGossip gossip;
-    private final CrashHistoryPersister archive;
+    private final CrashHistoryPersister persister;
     private final CrashDetector detector;
     private final Dependencies dependencies;
     private Consumer<RequestFingerprint> onQuarantined = fingerprint -> {};
@@ -45,7 +45,7 @@
      * @param store the platform's store
      * @param registry the replicas
      * @param datagrams the socket for datagrams between routers
-     * @param audience the other routers
+     * @param peers the other routers
      * @param metrics the metrics of the process
      */
     public record Dependencies(
@@ -55,7 +55,7 @@
             PlatformStore store,
             ReplicaRegistry registry,
             PeerDatagrams datagrams,
-            CrashGossip.Peers audience,
+            CrashGossip.Peers peers,
             Metrics metrics) {}
 
     /**
@@ -71,10 +71,10 @@
                 dependencies.clock(),
                 dependencies.timers(),
                 dependencies.random(),
-                dependencies.audience(),
+                dependencies.peers(),
                 dependencies.datagrams()::send);
-        archive = new CrashHistoryPersister(
-                dependencies.clock(), dependencies.timers(), dependencies.random(), this::writeArchive, history);
+        persister = new CrashHistoryPersister(
+                dependencies.clock(), dependencies.timers(), dependencies.random(), this::writeHistory, history);
         detector = new CrashDetector(dependencies.clock(), dependencies.timers(), this::recordCrash);
     }
 
@@ -103,34 +103,34 @@
         }
     }
 
-    private void recordCrash(LostAttempt run, LiveReplica replica) {
+    private void recordCrash(LostAttempt attempt, LiveReplica replica) {
         dependencies.metrics().count("hornbeam_requests_at_crash");
-        history.recordCrash(run, replica.runHash());
-        archive.crashRecorded();
+        history.recordCrash(attempt, replica.runHash());
+        persister.crashRecorded();
     }
 
     /**
-     * Reads the crash reports that routers have archived in the store.
+     * Merges the crash reports that routers have saved in the store.
      *
      * @param item the item under {@link CrashHistoryPersister#KEY}
      */
-    public void readArchive(StoreItem item) {
-        if (!archive.mergeStored(item.revision(), item.value())) {
+    public void mergeStoredHistory(StoreItem item) {
+        if (!persister.mergeStored(item.revision(), item.value())) {
             logger.atWarning()
                     .with(Logs.INPUTS, "revision=" + item.revision())
                     .log("key %s cannot be decoded and is ignored", item.key());
         }
     }
 
-    private CompletionStage<CrashHistoryPersister.Reply> writeArchive(long expectedRevision, String value) {
+    private CompletionStage<CrashHistoryPersister.Reply> writeHistory(long expectedRevision, String value) {
         return dependencies
                 .store()
                 .write(CrashHistoryPersister.KEY, OptionalLong.of(expectedRevision), value, Optional.empty())
-                .map(Quarantine::toArchiveReply)
+                .map(Quarantine::toPersisterReply)
                 .toCompletableFuture();
     }
 
-    private static CrashHistoryPersister.Reply toArchiveReply(PlatformStore.WriteReply reply) {
+    private static CrashHistoryPersister.Reply toPersisterReply(PlatformStore.WriteReply reply) {
         if (reply instanceof PlatformStore.WriteReply.Written written) {
             return new CrashHistoryPersister.Reply.Written(written.revision());
         }
@@ -164,20 +164,20 @@
     /**
      * Records that the connection of a request broke.
      *
-     * @param run the lost run
+     * @param attempt the lost attempt
      * @param replica the replica that ran it
      */
-    public void connectionBroken(LostAttempt run, LiveReplica replica) {
-        detector.connectionBroken(run, replica);
+    public void connectionBroken(LostAttempt attempt, LiveReplica replica) {
+        detector.connectionBroken(attempt, replica);
     }
 
     /**
      * Records that a request was abandoned while its replica was silent.
      *
-     * @param run the lost run
+     * @param attempt the lost attempt
      * @param replica the replica that ran it
      */
-    public void replicaSilent(LostAttempt run, LiveReplica replica) {
-        detector.replicaSilent(run, replica);
+    public void replicaSilent(LostAttempt attempt, LiveReplica replica) {
+        detector.replicaSilent(attempt, replica);
     }
 }
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/WorkHints.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/LoadHints.java
@@ -19,8 +19,8 @@
  * Exchanges hints with other routers about the requests sent to replicas. Hints only improve the choice of replicas: a
  * lost datagram results in a worse choice, nothing else.
  */
-public final class WorkHints {
-    /** Interval of hints to other routers with work. A replica needs about this long to read a long prompt. */
+public final class LoadHints {
+    /** Interval of hints to other active routers. A replica needs about this long to read a long prompt. */
     private static final long FLUSH_INTERVAL_MILLIS = 40;
     /**
      * With more active routers than this, hints are sent less often, so that their total size grows no faster than the
@@ -28,9 +28,7 @@
      */
     private static final int MAX_FULL_RATE_ROUTERS = 16;
 
-    /**
-     * Interval of hints to routers without work, which use them to select entry routers and as their initial load data.
-     */
+    /** Interval of hints to inactive routers, which use them to select entry routers and as their initial load data. */
     private static final long BROADCAST_INTERVAL_MILLIS = 500;
     /**
      * Maximum number of routers that receive a hint; more would increase the load of each router as the fleet grows.
@@ -41,7 +39,7 @@
     private final Clock clock;
     private final ReplicaRegistry registry;
     private final Supplier<List<String>> peers;
-    private final ActiveRouters workingRouters;
+    private final ActiveRouters activeRouters;
     private final PeerDatagrams datagrams;
     private final BiConsumer<LiveReplica, LoadHint.SentRequest> onSend;
     private final List<LoadHint.SentRequest> pendingSends = new ArrayList<>();
@@ -57,23 +55,23 @@
      * @param clock the clock
      * @param registry the replicas
      * @param peers supplies the addresses at which other routers receive hints
-     * @param workingRouters the routers that have work
+     * @param activeRouters the routers that are active
      * @param datagrams the socket for hints
      * @param onSend called for each request that another router sent to a replica
      */
-    public WorkHints(
+    public LoadHints(
             NioReactor reactor,
             Clock clock,
             ReplicaRegistry registry,
             Supplier<List<String>> peers,
-            ActiveRouters workingRouters,
+            ActiveRouters activeRouters,
             PeerDatagrams datagrams,
             BiConsumer<LiveReplica, LoadHint.SentRequest> onSend) {
         this.reactor = reactor;
         this.clock = clock;
         this.registry = registry;
         this.peers = peers;
-        this.workingRouters = workingRouters;
+        this.activeRouters = activeRouters;
         this.datagrams = datagrams;
         this.onSend = onSend;
     }
@@ -115,22 +113,22 @@
                         r.load().ownLongAnswers(),
                         r.load().ownMemoryTokens()))
                 .toList();
-        int rate = (int) Math.ceil(workingRouters.ownRate(now));
+        int rate = (int) Math.ceil(activeRouters.ownRate(now));
         boolean hasChanges = !pendingSends.isEmpty() || !totals.equals(lastTotals);
         boolean broadcast = (rate > 0 || !totals.isEmpty()) && now - lastBroadcastMillis > BROADCAST_INTERVAL_MILLIS;
-        Set<String> activeRouters = Set.copyOf(workingRouters.activePeers(now));
+        Set<String> activePeers = Set.copyOf(activeRouters.activePeers(now));
         if (hasChanges || broadcast) {
-            send(new LoadHint(rate, withFinished(totals), List.copyOf(pendingSends)), activeRouters);
+            send(new LoadHint(rate, withFinished(totals), List.copyOf(pendingSends)), activePeers);
             lastTotals = totals;
         }
         if (broadcast) {
-            Set<String> idleRouters = new HashSet<>(peers.get());
-            idleRouters.removeAll(activeRouters);
-            send(new LoadHint(rate, totals, List.of()), idleRouters);
+            Set<String> idlePeers = new HashSet<>(peers.get());
+            idlePeers.removeAll(activePeers);
+            send(new LoadHint(rate, totals, List.of()), idlePeers);
             lastBroadcastMillis = now;
         }
         pendingSends.clear();
-        long intervalFactor = Math.max(1, activeRouters.size() / MAX_FULL_RATE_ROUTERS);
+        long intervalFactor = Math.max(1, activePeers.size() / MAX_FULL_RATE_ROUTERS);
         scheduleFlush(
                 totals.isEmpty() && rate == 0 ? BROADCAST_INTERVAL_MILLIS : FLUSH_INTERVAL_MILLIS * intervalFactor);
     }
@@ -152,7 +150,7 @@
     private void apply(String from, LoadHint hint) {
         long now = clock.monotonicMillis();
         if (hint.requestsPerSecond() > 0 || !hint.sentRequests().isEmpty()) {
-            workingRouters.recordPeer(from, hint.requestsPerSecond(), now);
+            activeRouters.recordPeer(from, hint.requestsPerSecond(), now);
         }
         hint.replicaLoads().forEach(t -> registry.byRunHash(t.replica())
                 .ifPresent(r -> r.load().recordHint(from, t.running(), t.longAnswers(), t.memoryTokens(), now)));
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/RouterList.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/RouterList.java
@@ -121,11 +121,11 @@
     }
 
     /**
-     * Returns the addresses of the routers with work, for messages that concern their work.
+     * Returns the addresses of the active routers, for messages that concern their requests.
      *
      * @param hintAddresses the hint addresses from which hints were received recently
      * @param seeds the addresses from the settings
-     * @return their addresses for requests between routers; those of all routers if none is known to have work
+     * @return their addresses for requests between routers; those of all routers if none is known to be active
      */
     public List<String> peerAddressesForHints(List<String> hintAddresses, List<String> seeds) {
         List<String> active = others.values().stream()
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/StoreFollower.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/StoreFollower.java
@@ -102,7 +102,7 @@
      * @param readers the routers that read the store for others
      * @param updater applies the answers of readers
      */
-    public record Parts(
+    public record Dependencies(
             Timers timers,
             Clock clock,
             RandomGenerator random,
@@ -117,19 +117,19 @@
     /**
      * Creates a follower that is not started yet.
      *
-     * @param parts the dependencies
+     * @param dependencies the dependencies
      */
-    StoreFollower(Parts parts) {
-        this.timers = parts.timers();
-        this.clock = parts.clock();
-        this.random = parts.random();
-        this.store = parts.store();
-        this.mirror = parts.mirror();
-        this.state = parts.state();
-        this.suspensionDetector = parts.suspensionDetector();
-        this.routerCount = parts.routerCount();
-        this.readers = parts.readers();
-        this.updater = parts.updater();
+    StoreFollower(Dependencies dependencies) {
+        this.timers = dependencies.timers();
+        this.clock = dependencies.clock();
+        this.random = dependencies.random();
+        this.store = dependencies.store();
+        this.mirror = dependencies.mirror();
+        this.state = dependencies.state();
+        this.suspensionDetector = dependencies.suspensionDetector();
+        this.routerCount = dependencies.routerCount();
+        this.readers = dependencies.readers();
+        this.updater = dependencies.updater();
     }
 
     /** Starts to read changes. */
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/StoreView.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/StoreView.java
@@ -34,7 +34,7 @@
      * @param readerClient fetches changes from routers that read the store
      * @param peerClient fetches changes from any other router
      */
-    public record Parts(
+    public record Dependencies(
             Timers timers,
             Clock clock,
             RandomGenerator random,
@@ -54,10 +54,10 @@
      *
      * @param p the dependencies
      */
-    public StoreView(Parts p) {
+    public StoreView(Dependencies p) {
         MirrorUpdater updater =
                 new MirrorUpdater(p.clock(), p.mirror(), p.state(), p.weights(), p.suspensionDetector());
-        follower = new StoreFollower(new StoreFollower.Parts(
+        follower = new StoreFollower(new StoreFollower.Dependencies(
                 p.timers(),
                 p.clock(),
                 p.random(),
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/WeightsView.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/WeightsView.java
@@ -25,10 +25,10 @@
      */
     private static final long BOUND_MARGIN_MILLIS = 350;
     /**
-     * Lifetime of a notice about changing replicas. If it is not renewed for this long, the router that sent it is
+     * Lifetime of a notice about pending weight changes. If it is not renewed for this long, the router that sent it is
      * gone.
      */
-    private static final long AVOID_NOTICE_TTL_MILLIS = 3_000;
+    private static final long PENDING_CHANGE_NOTICE_TTL_MILLIS = 3_000;
 
     /**
      * Remaining usable time of older weights if it is unknown when the newer version was published. Changing all
@@ -41,16 +41,16 @@
      */
     private static final long SETTLE_MILLIS = 8_000;
 
-    private final long usableAfterReplacementMillis;
+    private final long usableAfterSupersededMillis;
     private final Map<String, NavigableMap<Long, Publication>> publications = new HashMap<>();
-    private final Set<String> avoidedReplicas = new HashSet<>();
-    private long avoidedSinceMillis;
+    private final Set<String> pendingWeightChanges = new HashSet<>();
+    private long pendingWeightChangesSinceMillis;
 
     /**
      * A time at which a version was not published yet, observed or estimated.
      *
      * <p>A router reads the store once a second. If it counted from the time at which it read a version, requests would
-     * begin on replaced weights after the bound, up to 0.65 s late with 84 routers. Instead it counts from the last
+     * begin on superseded weights after the bound, up to 0.65 s late with 84 routers. Instead it counts from the last
      * time at which the store is known to have lacked the version. No version between the one known then and this one
      * was published earlier either, so older weights are never used for too long, even if versions were missed.
      */
@@ -73,7 +73,7 @@
      * @param boundMillis the time after which no request may begin on older weights, in milliseconds
      */
     public WeightsView(long boundMillis) {
-        this.usableAfterReplacementMillis = Math.max(0, boundMillis - BOUND_MARGIN_MILLIS);
+        this.usableAfterSupersededMillis = Math.max(0, boundMillis - BOUND_MARGIN_MILLIS);
     }
 
     /**
@@ -99,15 +99,15 @@
      * @param nowMillis the current monotonic time
      */
     public void recordFound(String model, long version, long nowMillis) {
-        put(model, version, new Publication(nowMillis - usableAfterReplacementMillis + ESTIMATED_USABLE_MILLIS, true));
+        put(model, version, new Publication(nowMillis - usableAfterSupersededMillis + ESTIMATED_USABLE_MILLIS, true));
     }
 
     /**
      * Records the publication time that another router reports. Its estimates are recorded too.
      *
      * <p>When all routers are restarted in turn, each knows only the versions published since its own start. A router
-     * that asked another one would take the later version for the one that replaced the weights, and would use them for
-     * as long again. A version that both routers only found at their start lies between the two, and keeps its
+     * that asked another one would take the later version for the one that superseded the weights, and would use them
+     * for as long again. A version that both routers only found at their start lies between the two, and keeps its
      * estimate.
      *
      * @param age the age that the other router reports
@@ -144,7 +144,7 @@
      * Accounts for time that the monotonic clock may have left out.
      *
      * <p>If a machine is suspended for seconds, its monotonic clock does not advance, and requests would begin on
-     * replaced weights that much later than the bound. All known times become estimates that lie further in the past,
+     * superseded weights that much later than the bound. All known times become estimates that lie further in the past,
      * until other routers report them. If only the wall clock was set, these reports restore the times at once.
      *
      * @param millis how long the machine may have been suspended, in milliseconds
@@ -199,7 +199,7 @@
      * @return whether replicas with newer weights should be preferred
      */
     public boolean isPenalized(String model, long version, long nowMillis) {
-        return millisSinceReplaced(model, version, nowMillis) > PENALTY_DELAY_MILLIS;
+        return millisSinceSuperseded(model, version, nowMillis) > PENALTY_DELAY_MILLIS;
     }
 
     /**
@@ -213,8 +213,8 @@
      *     published
      */
     public long usableMillis(String model, long version, long nowMillis) {
-        return replacedAtMillis(model, version)
-                .map(at -> at + usableAfterReplacementMillis - nowMillis)
+        return supersededAtMillis(model, version)
+                .map(at -> at + usableAfterSupersededMillis - nowMillis)
                 .orElse(Long.MAX_VALUE);
     }
 
@@ -234,15 +234,15 @@
                 || nowMillis - publication.notBeforeMillis() > SETTLE_MILLIS;
     }
 
-    private long millisSinceReplaced(String model, long version, long nowMillis) {
-        return replacedAtMillis(model, version).map(at -> nowMillis - at).orElse(0L);
+    private long millisSinceSuperseded(String model, long version, long nowMillis) {
+        return supersededAtMillis(model, version).map(at -> nowMillis - at).orElse(0L);
     }
 
     /**
-     * Returns when a version was replaced. A later version is never published before an earlier one, so the earliest of
-     * the times of all later versions is safe.
+     * Returns when a version was superseded. A later version is never published before an earlier one, so the earliest
+     * of the times of all later versions is safe.
      */
-    private Optional<Long> replacedAtMillis(String model, long version) {
+    private Optional<Long> supersededAtMillis(String model, long version) {
         return versionsOf(model).tailMap(version, false).values().stream()
                 .map(Publication::notBeforeMillis)
                 .min(Comparator.naturalOrder());
@@ -253,25 +253,26 @@
     }
 
     /**
-     * Sets the replicas that are about to change their weights.
+     * Sets the replicas with a pending weight change.
      *
      * @param replicas the ids of the replicas
      * @param nowMillis the current monotonic time
      */
-    public void avoid(Set<String> replicas, long nowMillis) {
-        avoidedReplicas.clear();
-        avoidedReplicas.addAll(replicas);
-        avoidedSinceMillis = nowMillis;
+    public void setPendingWeightChanges(Set<String> replicas, long nowMillis) {
+        pendingWeightChanges.clear();
+        pendingWeightChanges.addAll(replicas);
+        pendingWeightChangesSinceMillis = nowMillis;
     }
 
     /**
-     * Returns whether a replica is about to change its weights.
+     * Returns whether a replica has a pending weight change.
      *
      * @param replica the id of the replica
      * @param nowMillis the current monotonic time
      * @return whether new requests should be sent to other replicas
      */
-    public boolean isAvoided(String replica, long nowMillis) {
-        return avoidedReplicas.contains(replica) && nowMillis - avoidedSinceMillis < AVOID_NOTICE_TTL_MILLIS;
+    public boolean isWeightChangePending(String replica, long nowMillis) {
+        return pendingWeightChanges.contains(replica)
+                && nowMillis - pendingWeightChangesSinceMillis < PENDING_CHANGE_NOTICE_TTL_MILLIS;
     }
 }
--- a/gateway/src/test/java/org/hornbeamhead/gateway/dispatch/WeightsExpiryMonitorTest.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/dispatch/WeightsExpiryMonitorTest.java
@@ -80,7 +80,7 @@
     }
 
     /**
-     * A router that finds replaced weights at its start assumes that little of their usable time remains. If another
+     * A router that finds superseded weights at its start assumes that little of their usable time remains. If another
      * router then reports a release so long ago that the bound has passed, the queued request is cancelled at the next
      * check.
      */
--- a/gateway/src/test/java/org/hornbeamhead/gateway/duty/RolloutTestBed.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/duty/RolloutTestBed.java
@@ -99,7 +99,7 @@
                 .ifPresent(r -> store.expireLeaseOf(LeaderLease.KEY));
     }
 
-    /** Sets the target version and notifies the routers. */
+    /** Publishes a target version and notifies the routers. */
     void setTargetVersion(long version) {
         weights.recordPublished(FakeReplicas.MODEL, version, clock.monotonicMillis());
         routers.stream().filter(r -> !r.killed).forEach(r -> r.coordinator.wakeUp());
--- a/gateway/src/test/java/org/hornbeamhead/gateway/state/SimulatedFleet.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/state/SimulatedFleet.java
@@ -121,7 +121,7 @@
             list = new RouterList(entry, () -> true, clock);
             SuspensionDetector detector = new SuspensionDetector(this::schedule, clock, millis -> {});
             WeightsListener listener = new WeightsListener(clock, mirror, state, weights);
-            view = new StoreView(new StoreView.Parts(
+            view = new StoreView(new StoreView.Dependencies(
                     this::schedule,
                     clock,
                     random,
--- a/gateway/src/test/java/org/hornbeamhead/gateway/state/StoreFollowerTest.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/state/StoreFollowerTest.java
@@ -49,7 +49,7 @@
     }
 
     /**
-     * If the router is wrong about the age of its view, callers get answers on replaced weights, or requests are
+     * If the router is wrong about the age of its view, callers get answers on superseded weights, or requests are
      * returned to them long before the bound. A request that is answered at once proves the view up to the time of its
      * sending. One that waited was answered just now, because the store answers with the first change.
      */
@@ -68,7 +68,7 @@
     /**
      * In a store where nothing else changes, a request waits for two seconds without a change, and the next one is
      * answered when a version is published. The version must count from that answer, not from the previous request.
-     * Otherwise five of the eight seconds for which replaced weights may be used would be lost, and requests would be
+     * Otherwise five of the eight seconds for which superseded weights may be used would be lost, and requests would be
      * returned to callers.
      */
     @Test
@@ -119,7 +119,7 @@
             throw new AssertionError("a reader must not query other routers");
         });
         MirrorUpdater updater = new MirrorUpdater(clock, mirror, state, new WeightsView(8_000), detector);
-        follower = new StoreFollower(new StoreFollower.Parts(
+        follower = new StoreFollower(new StoreFollower.Dependencies(
                 timers, clock, new Random(1), store, mirror, state, detector, () -> 1, readers, updater));
         follower.start();
     }
--- a/gateway/src/test/java/org/hornbeamhead/gateway/state/StoreViewTest.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/state/StoreViewTest.java
@@ -55,13 +55,13 @@
         assertTrue(reads <= 4 * 1_000 / 120 + 2 || routers < 8, "reads a second: " + reads);
     }
 
-    /** Asserts that replaced weights are not allowed for longer than the bound. */
+    /** Asserts that superseded weights are not allowed for longer than the bound. */
     private static void assertBounds(List<Member> routers, long version, long publishedAt) {
         for (Member m : routers) {
             long usableMillis = m.weights.usableMillis(SimulatedFleet.MODEL, version - 1, publishedAt);
             assertTrue(
                     version == 1 || usableMillis <= SimulatedFleet.BOUND_MILLIS,
-                    m.entry.node() + " allows replaced weights for " + usableMillis);
+                    m.entry.node() + " allows superseded weights for " + usableMillis);
         }
     }
 
@@ -107,7 +107,7 @@
 
     /**
      * Readers fail, freeze or are disconnected just before weights are published. The routers that wait for them must
-     * use other sources; otherwise they would return requests to callers or serve them on replaced weights. Later
+     * use other sources; otherwise they would return requests to callers or serve them on superseded weights. Later
      * versions must propagate as fast as before, and no router may count a version from later than its publication.
      */
     @Test(dataProvider = "faults")
--- a/gateway/src/test/java/org/hornbeamhead/gateway/state/WeightsViewTest.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/state/WeightsViewTest.java
@@ -120,10 +120,10 @@
 
     /** The router that changes weights was killed. Its last notice must not exclude a replica permanently. */
     @Test
-    public void avoidNoticeExpires() {
+    public void pendingWeightChangeNoticeExpires() {
         WeightsView view = new WeightsView(BOUND);
-        view.avoid(Set.of("r"), 1_000);
-        assertTrue(view.isAvoided("r", 2_000));
-        assertFalse(view.isAvoided("r", 5_000));
+        view.setPendingWeightChanges(Set.of("r"), 1_000);
+        assertTrue(view.isWeightChangePending("r", 2_000));
+        assertFalse(view.isWeightChangePending("r", 5_000));
     }
 }
