--- a/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Dispatcher.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/Dispatcher.java
@@ -251,10 +251,10 @@
     /**
      * Sets the channel that announces the requests of this router to other routers.
      *
-     * @param loadHints the channel
+     * @param hintExchange the channel
      */
-    public void setLoadHints(LoadHints loadHints) {
-        this.loadHints = loadHints;
+    public void setLoadHints(LoadHints hintExchange) {
+        loadHints = hintExchange;
     }
 
     /**
