--- a/soak/src/main/java/org/hornbeamhead/soak/SoakReplica.java
+++ b/soak/src/main/java/org/hornbeamhead/soak/SoakReplica.java
@@ -73,13 +73,14 @@
         grey = now;
     }
 
-    private void work(StandinReplica.ReceivedRequest r, StandinReplica.Connection to) throws IOException, InterruptedException {
+    private void work(StandinReplica.ReceivedRequest r, StandinReplica.Connection to)
+            throws IOException, InterruptedException {
         boolean fails = grey && random.nextInt(GREY_ONE_IN) == 0;
         int how = random.nextInt(Failure.values().length);
         Failure failure = fails ? Failure.values()[how] : Failure.NONE;
         boolean runs = failure != Failure.REFUSES;
-        history.add(
-                new History.Arrived(r.id(), id(), service, r.customer(), r.cacheSalt(), r.expectedWeights(), runs, clock.millis()));
+        history.add(new History.Arrived(
+                r.id(), id(), service, r.customer(), r.cacheSalt(), r.expectedWeights(), runs, clock.millis()));
         if (runs && CrashingCallers.content(r.head()).isPresent()) {
             end(r);
             return;
