--- a/fuzz/src/test/java/org/hornbeamhead/fuzz/FuzzTargets.java
+++ b/fuzz/src/test/java/org/hornbeamhead/fuzz/FuzzTargets.java
@@ -10,9 +10,9 @@
 import org.hornbeamhead.core.config.OperatorsConfigReader;
 import org.hornbeamhead.core.crash.ArchiveReading;
 import org.hornbeamhead.core.crash.CrashHistory;
-import org.hornbeamhead.core.crash.CrashNews;
+import org.hornbeamhead.core.crash.CrashReportCodec;
 import org.hornbeamhead.core.drain.DrainOrders;
-import org.hornbeamhead.core.engine.WorkHint;
+import org.hornbeamhead.core.engine.LoadHint;
 import org.hornbeamhead.core.ticket.Ticket;
 import org.hornbeamhead.core.time.ManualClock;
 import org.hornbeamhead.gateway.state.PeerReading;
@@ -40,8 +40,10 @@
             target(
                     "HINTS",
                     FuzzTargets::hints,
-                    latin(new WorkHint(
-                                    7, List.of(new WorkHint.Total(1, 2, 3, 4)), List.of(new WorkHint.Send(5, 6, 7, 8)))
+                    latin(new LoadHint(
+                                    7,
+                                    List.of(new LoadHint.ReplicaLoad(1, 2, 3, 4)),
+                                    List.of(new LoadHint.SentRequest(5, 6, 7, 8)))
                             .encode())),
             // What routers tell one another of crashes.
             target("CRASH_NEWS", FuzzTargets::crashNews, "\u00c5\0\1\0\0\0\0\0\0\0\7\1\0\0\0\5\0\0\0\u0009\0\u0008"),
@@ -100,18 +102,18 @@
     }
 
     private static void hints(byte[] bytes) {
-        WorkHint.decode(bytes).ifPresent(h -> assertEquals(WorkHint.decode(h.encode()), Optional.of(h)));
+        LoadHint.decode(bytes).ifPresent(h -> assertEquals(LoadHint.decode(h.encode()), Optional.of(h)));
     }
 
     private static void crashNews(byte[] bytes) {
         CrashHistory history = new CrashHistory(new ManualClock(0));
-        CrashNews.decode(bytes).ifPresent(news -> {
-            assertEquals(CrashNews.decode(CrashNews.encode(news)), Optional.of(news));
+        CrashReportCodec.decode(bytes).ifPresent(news -> {
+            assertEquals(CrashReportCodec.decode(CrashReportCodec.encode(news)), Optional.of(news));
             news.forEach(history::merge);
         });
-        history.sweep();
-        history.held();
-        CrashNews.encode(CrashNews.fitting(history.reports(), CrashNews.DATAGRAM_BYTES));
+        history.removeExpired();
+        history.quarantinedCount();
+        CrashReportCodec.encode(CrashReportCodec.limitToSize(history.reports(), CrashReportCodec.MAX_DATAGRAM_BYTES));
     }
 
     private static void drainOrders(String text) {
--- /dev/null
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/dispatch/TargetSelector.java
@@ -0,0 +1,177 @@
+package org.hornbeamhead.gateway.dispatch;
+
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import org.hornbeamhead.core.engine.EngineCandidate;
+import org.hornbeamhead.core.engine.EngineChoice;
+import org.hornbeamhead.core.engine.EngineChooser;
+import org.hornbeamhead.core.engine.KvTransferLinks;
+import org.hornbeamhead.core.engine.Prompt;
+import org.hornbeamhead.core.route.EngineSpec;
+import org.hornbeamhead.core.route.KeyOwner;
+import org.hornbeamhead.core.route.RoutingConfig;
+import org.hornbeamhead.core.route.ServiceSpec;
+import org.hornbeamhead.core.time.Clock;
+import org.hornbeamhead.gateway.replica.LiveReplica;
+import org.hornbeamhead.gateway.replica.ReplicaRegistry;
+import org.hornbeamhead.gateway.state.WeightsView;
+
+/** Selects the replica for an attempt. Engines are chosen by the engine chooser; this class collects its inputs. */
+final class TargetSelector {
+    private final Clock clock;
+    private final ReplicaRegistry registry;
+    private final WeightsView weights;
+    private final String dataCentre;
+    private final boolean priorTraffic;
+    private final Map<String, EngineChooser> choosers = new HashMap<>();
+
+    TargetSelector(
+            Clock clock, ReplicaRegistry registry, WeightsView weights, String dataCentre, boolean priorTraffic) {
+        this.clock = clock;
+        this.registry = registry;
+        this.weights = weights;
+        this.dataCentre = dataCentre;
+        this.priorTraffic = priorTraffic;
+    }
+
+    Optional<Target> select(
+            RoutingConfig config,
+            ServiceSpec service,
+            CallerRequest request,
+            Optional<KeyOwner> owner,
+            Set<String> tried) {
+        List<LiveReplica> replicas = usableReplicas(service, tried);
+        return service.engine().isPresent() && request.prompt().isPresent()
+                ? selectEngine(config, service, request.prompt().get(), owner, replicas)
+                : selectLeastLoaded(replicas);
+    }
+
+    boolean hasUntried(ServiceSpec service, Set<String> tried) {
+        return registry.acceptingReplicas(service.name()).stream()
+                .anyMatch(r -> !tried.contains(r.entry().run()));
+    }
+
+    /** Returns the replicas that were not tried yet, without recently failed ones unless no others are left. */
+    private List<LiveReplica> usableReplicas(ServiceSpec service, Set<String> tried) {
+        long now = clock.monotonicMillis();
+        List<LiveReplica> untried = registry.acceptingReplicas(service.name()).stream()
+                .filter(r -> !tried.contains(r.entry().run()))
+                .toList();
+        List<LiveReplica> healthy =
+                untried.stream().filter(r -> !r.guard().isEjected(now)).toList();
+        return healthy.isEmpty() ? untried : healthy;
+    }
+
+    private Optional<Target> selectLeastLoaded(List<LiveReplica> replicas) {
+        long now = clock.monotonicMillis();
+        return replicas.stream()
+                .min(Comparator.comparingInt((LiveReplica r) -> r.load().runningRequests(now))
+                        .thenComparing(r -> !r.entry().dataCentre().equals(dataCentre))
+                        .thenComparingInt(r -> r.connections().openCount()))
+                .map(r -> new Target(r, Optional.empty(), Optional.empty(), "least load"));
+    }
+
+    private Optional<Target> selectEngine(
+            RoutingConfig config,
+            ServiceSpec service,
+            Prompt prompt,
+            Optional<KeyOwner> owner,
+            List<LiveReplica> replicas) {
+        long now = clock.monotonicMillis();
+        Map<String, LiveReplica> replicasByRun = new HashMap<>();
+        replicas.forEach(r -> replicasByRun.put(r.entry().run(), r));
+        EngineSpec spec = service.engine().orElseThrow();
+        KvTransferLinks links = links(spec, config);
+        List<EngineCandidate> candidates = replicas.stream()
+                .map(r -> new EngineCandidate(
+                        r.entry().run(),
+                        r.entry().dataCentre(),
+                        r.weightsVersion(prompt.model()),
+                        weights.isSettled(prompt.model(), r.weightsVersion(prompt.model()), now),
+                        r.load(),
+                        spec.kvCapacityTokens(),
+                        r.entry().slots(),
+                        weights.isPenalized(prompt.model(), r.weightsVersion(prompt.model()), now),
+                        weights.usableMillis(prompt.model(), r.weightsVersion(prompt.model()), now),
+                        weights.isWeightChangePending(r.entry().run(), now)))
+                .toList();
+        String isolatedCustomer =
+                owner.filter(KeyOwner::isolated).map(KeyOwner::customer).orElse("");
+        return chooser(service.name())
+                .choose(prompt, c -> salt(prompt, isolatedCustomer, c.weights()).hashCode(), candidates, links, now)
+                .map(choice -> toTarget(
+                        links,
+                        prompt,
+                        isolatedCustomer,
+                        choice,
+                        replicasByRun.get(choice.engine().id())));
+    }
+
+    private static KvTransferLinks links(EngineSpec engine, RoutingConfig config) {
+        return new KvTransferLinks(
+                KvTransferLinks.tokensPerMilli(engine.linkMbps(), engine.kvTokenBytes()),
+                config.kvCacheStores().stream()
+                        .map(s -> new KvTransferLinks.Store(
+                                s.address(),
+                                s.dataCentre(),
+                                KvTransferLinks.tokensPerMilli(s.linkMbps(), engine.kvTokenBytes())))
+                        .toList());
+    }
+
+    private EngineChooser chooser(String service) {
+        return choosers.computeIfAbsent(service, s -> new EngineChooser(priorTraffic));
+    }
+
+    /** Records a request that this router, or another router, sent to an engine. */
+    void recordSent(RoutingConfig config, LiveReplica replica, long beginning, double storeMillis) {
+        long now = clock.monotonicMillis();
+        String service = replica.entry().service();
+        config.findService(service)
+                .flatMap(ServiceSpec::engine)
+                .map(engine -> links(engine, config))
+                .ifPresent(links -> chooser(service)
+                        .recordSent(
+                                beginning,
+                                replica.entry().run(),
+                                replica.load().waitMillis(now),
+                                links,
+                                storeMillis,
+                                now));
+    }
+
+    /** Records that an engine did not take a request of this router. */
+    void recordRefused(LiveReplica replica, EngineChoice choice) {
+        chooser(replica.entry().service())
+                .recordRejected(choice.prefixHash(), replica.entry().run());
+    }
+
+    /**
+     * Returns the cache salt. Prompt parts that were processed with other weights, or for an isolated customer, are
+     * never found under it.
+     */
+    private static String salt(Prompt prompt, String isolatedCustomer, long version) {
+        return prompt.model() + '.' + version + (isolatedCustomer.isEmpty() ? "" : '.' + isolatedCustomer);
+    }
+
+    private Target toTarget(
+            KvTransferLinks links, Prompt prompt, String isolatedCustomer, EngineChoice choice, LiveReplica replica) {
+        long version = choice.engine().weights();
+        String salt = salt(prompt, isolatedCustomer, version);
+        Optional<String> store = links.storeFor(choice.prefixHash()).map(KvTransferLinks.Store::address);
+        Optional<String> source =
+                choice.fetchFrom().flatMap(registry::byRun).map(r -> r.entry().address());
+        return new Target(
+                replica,
+                Optional.of(new ForwardingOptions.EngineOptions(
+                        salt,
+                        version,
+                        source.or(() -> store.filter(s -> choice.queryStore())),
+                        store.filter(s -> choice.saveToStore()))),
+                Optional.of(choice),
+                choice.reason());
+    }
+}
--- a/gateway/src/main/java/org/hornbeamhead/gateway/state/PeerDatagrams.java
+++ b/gateway/src/main/java/org/hornbeamhead/gateway/state/PeerDatagrams.java
@@ -15,53 +15,56 @@
 import java.util.function.BiConsumer;
 import org.hornbeamhead.core.settings.Addresses;
 
-/** The socket at which routers tell one another what may be lost. Each kind of datagram has a first byte of its own. */
+/**
+ * The socket for datagrams between routers, which may be lost. Each kind of datagram is identified by its first byte.
+ */
 public final class PeerDatagrams {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    /** After a failed receive; one line of the log a second at most. */
-    private static final long RECEIVE_AGAIN_MILLIS = 1_000;
+    /** Delay after a failed receive, which limits the log to one line a second. */
+    private static final long RECEIVE_RETRY_MILLIS = 1_000;
 
     private final NioReactor reactor;
     private final List<BiConsumer<String, byte[]>> listeners = new ArrayList<>();
     private UdpSocket socket;
-    private SocketAddress bound;
+    private SocketAddress boundAddress;
 
     /**
-     * Makes a socket that is not open yet.
+     * Creates a socket that is not open yet.
      *
-     * @param reactor the thread's reactor
+     * @param reactor the reactor of this thread
      */
     public PeerDatagrams(NioReactor reactor) {
         this.reactor = reactor;
     }
 
     /**
-     * Hands on what comes.
+     * Adds a listener for received datagrams.
      *
-     * @param listener takes the sender's address and the bytes of each datagram, and passes over what is not its own
+     * @param listener receives the address of the sender and the bytes of each datagram, and must ignore datagrams of
+     *     other kinds
      */
-    public void listen(BiConsumer<String, byte[]> listener) {
+    public void addListener(BiConsumer<String, byte[]> listener) {
         listeners.add(listener);
     }
 
     /**
      * Opens the socket.
      *
-     * @param address where to listen
-     * @throws IOException when the address cannot be bound
+     * @param address the address to listen on
+     * @throws IOException if the address cannot be bound
      */
     public void start(InetSocketAddress address) throws IOException {
         DatagramChannel channel = DatagramChannel.open();
         channel.configureBlocking(false);
         channel.bind(address);
-        bound = channel.getLocalAddress();
+        boundAddress = channel.getLocalAddress();
         socket = UdpSocket.connect(reactor, channel).getResult();
         receive();
     }
 
-    /** Where it listens. */
+    /** Returns the address that the socket is bound to. */
     SocketAddress address() {
-        return bound;
+        return boundAddress;
     }
 
     /**
@@ -77,21 +80,24 @@
     private void receive() {
         socket.receive().subscribe((packet, e) -> {
             if (e != null) {
-                logger.atWarning().withCause(e).log("a datagram could not be received");
-                reactor.delayBackground(RECEIVE_AGAIN_MILLIS, this::receive);
+                logger.atWarning().withCause(e).log("receiving a datagram failed");
+                reactor.delayBackground(RECEIVE_RETRY_MILLIS, this::receive);
                 return;
             }
             String from = Addresses.format(packet.getSocketAddress());
             byte[] bytes = packet.getBuf().asArray();
-            listeners.forEach(l -> passOn(l, from, bytes));
+            listeners.forEach(l -> dispatch(l, from, bytes));
             receive();
         });
     }
 
-    /** A listener that fails must not keep the router from hearing the next datagram. */
-    private static void passOn(BiConsumer<String, byte[]> listener, String from, byte[] bytes) {
+    /**
+     * Passes a datagram to a listener. A failure of the listener must not prevent the router from receiving later
+     * datagrams.
+     */
+    private static void dispatch(BiConsumer<String, byte[]> listener, String from, byte[] bytes) {
         Try.run(() -> listener.accept(from, bytes))
                 .onFailure(e -> logger.atSevere().withCause(e).log(
-                        "a datagram of %s cannot be taken over and is passed over", from));
+                        "ignoring a datagram from %s that could not be processed", from));
     }
 }
--- a/gateway/src/test/java/org/hornbeamhead/gateway/state/ReaderFleet.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/state/SimulatedFleet.java
@@ -14,8 +14,8 @@
 import org.hornbeamhead.core.time.ManualClock;
 import org.hornbeamhead.core.time.ManualTimers;
 
-/** Routers that learn of changes, before one store, in virtual time. Replicas renew their entries all the while. */
-final class ReaderFleet {
+/** Simulated routers that follow one store in virtual time, while replicas renew their entries. */
+final class SimulatedFleet {
     static final String MODEL = "m";
     static final long BOUND_MILLIS = 8_000;
 
@@ -23,43 +23,43 @@
     private static final int REPLICAS = 62;
     private static final long RENEWAL_MILLIS = 1_200;
     private static final long HOP_MILLIS = 2;
-    private static final String WEIGHTS = "weights/";
-    private static final String REPLICA = "replica/";
+    private static final String WEIGHTS_PREFIX = "weights/";
+    private static final String REPLICA_PREFIX = "replica/";
 
     final ManualClock clock = new ManualClock(1_000_000);
     final ManualTimers timers = new ManualTimers(clock);
-    final VirtualStore store = new VirtualStore(timers);
+    final SimulatedStore store = new SimulatedStore(timers);
     final List<Member> members = new ArrayList<>();
 
     private final Random random = new Random(SEED);
 
-    /** Whether two routers can reach one another. */
-    BiPredicate<Member, Member> linked = (a, b) -> true;
+    /** Whether the first router can connect to the second. */
+    BiPredicate<Member, Member> connected = (a, b) -> true;
 
     /** Whether replicas renew their entries. */
-    boolean renewing = true;
+    boolean renewalsEnabled = true;
 
     private long renewals;
 
-    ReaderFleet(int routers) {
+    SimulatedFleet(int routers) {
         for (int i = 0; i < REPLICAS; i++) {
             renew("r" + i);
         }
         for (int i = 0; i < routers; i++) {
             members.add(new Member("n" + i, "d" + i % 6, i % 5 == 0 ? 195 : 28));
         }
-        members.forEach(m -> store.put(m.entry.key(), m.entry.text()));
+        members.forEach(m -> store.put(m.entry.key(), m.entry.toJson()));
         members.forEach(Member::start);
     }
 
     private void renew(String replica) {
-        if (renewing) {
-            store.put(REPLICA + replica, "ready " + renewals++);
+        if (renewalsEnabled) {
+            store.put(REPLICA_PREFIX + replica, "ready " + renewals++);
         }
         timers.schedule(RENEWAL_MILLIS + random.nextInt(50), () -> renew(replica));
     }
 
-    /** The routers that read the store for the others, as all of them find when their lists are whole. */
+    /** Returns the routers that read the store for the others, as chosen by routers with a complete list. */
     List<Member> readers() {
         return members.get(0).list.readers().stream().map(r -> member(r.node())).toList();
     }
@@ -71,25 +71,25 @@
                 .orElseThrow();
     }
 
-    /** Names weights, and tells when. */
-    long name(long version) {
-        store.put(WEIGHTS + MODEL, Long.toString(version));
+    /** Publishes a version of the weights and returns the time. */
+    long publish(long version) {
+        store.put(WEIGHTS_PREFIX + MODEL, Long.toString(version));
         return clock.monotonicMillis();
     }
 
-    /** Lets time pass until all of some routers know a version; tells how long that took. */
-    long millisUntilKnown(long version, List<Member> who) {
-        long from = clock.monotonicMillis();
-        while (who.stream().anyMatch(m -> m.weights.named(MODEL) < version)) {
+    /** Advances the time until all the given routers know a version, and returns how long that took. */
+    long millisUntilKnown(long version, List<Member> routers) {
+        long start = clock.monotonicMillis();
+        while (routers.stream().anyMatch(m -> m.weights.latestVersion(MODEL) < version)) {
             timers.advance(1);
-            if (clock.monotonicMillis() - from > 60_000) {
-                throw new AssertionError("not known to all after a minute");
+            if (clock.monotonicMillis() - start > 60_000) {
+                throw new AssertionError("version not known to all routers after a minute");
             }
         }
-        return clock.monotonicMillis() - from;
+        return clock.monotonicMillis() - start;
     }
 
-    /** One router, as far as it learns of changes. */
+    /** A simulated router that receives changes of the store. */
     final class Member {
         final RouterEntry entry;
         boolean alive;
@@ -100,10 +100,10 @@
         WeightsView weights;
         RouterList list;
         StoreView view;
-        private int life;
-        private final List<Runnable> whenThawed = new ArrayList<>();
-        private Map<String, String> contents;
-        final List<Long> revisions = new ArrayList<>();
+        private int generation;
+        private final List<Runnable> deferred = new ArrayList<>();
+        private Map<String, String> states;
+        final List<Long> publishedRevisions = new ArrayList<>();
 
         private Member(String node, String dataCentre, double capacity) {
             entry = new RouterEntry(node, node + ":c", node + ":p", node + ":h", dataCentre, capacity, 0);
@@ -112,92 +112,92 @@
         void start() {
             alive = true;
             frozen = false;
-            life++;
-            revisions.clear();
-            contents = new HashMap<>();
+            generation++;
+            publishedRevisions.clear();
+            states = new HashMap<>();
             mirror = new StoreMirror();
             state = new RoutingState();
             weights = new WeightsView(BOUND_MILLIS);
             list = new RouterList(entry, () -> true, clock);
-            SuspensionWatch watch = new SuspensionWatch(this::schedule, clock, millis -> {});
+            SuspensionDetector detector = new SuspensionDetector(this::schedule, clock, millis -> {});
             WeightsListener listener = new WeightsListener(clock, mirror, state, weights);
-            view = new StoreView(new StoreView.Parts(
+            view = new StoreView(new StoreView.Dependencies(
                     this::schedule,
                     clock,
                     random,
-                    store.linkOf(() -> reachesStore),
+                    store.clientFor(() -> reachesStore),
                     mirror,
                     state,
                     weights,
-                    watch,
+                    detector,
                     list,
                     entry.node(),
                     () -> list.peerAddresses(List.of()),
-                    this::ask,
-                    this::ask));
-            mirror.listen(item -> changed(item, listener));
+                    this::query,
+                    this::query));
+            mirror.addListener(item -> changed(item, listener));
             view.start();
         }
 
         void kill() {
             alive = false;
-            life++;
+            generation++;
         }
 
-        void thaw() {
+        void resume() {
             frozen = false;
-            List<Runnable> late = List.copyOf(whenThawed);
-            whenThawed.clear();
-            late.forEach(Runnable::run);
+            List<Runnable> actions = List.copyOf(deferred);
+            deferred.clear();
+            actions.forEach(Runnable::run);
         }
 
         private void schedule(long delay, Runnable action) {
-            int mine = life;
-            timers.schedule(delay, () -> run(mine, action));
+            int scheduledGeneration = generation;
+            timers.schedule(delay, () -> run(scheduledGeneration, action));
         }
 
-        private void run(int mine, Runnable action) {
-            if (mine != life) {
+        private void run(int scheduledGeneration, Runnable action) {
+            if (scheduledGeneration != generation) {
                 return;
             }
             if (frozen) {
-                whenThawed.add(action);
+                deferred.add(action);
             } else {
                 action.run();
             }
         }
 
         private void changed(StoreItem item, WeightsListener listener) {
-            String content = item.removed() ? "" : item.value().split(" ", 2)[0];
-            String before = contents.put(item.key(), content);
+            String newState = item.removed() ? "" : item.value().split(" ", 2)[0];
+            String previousState = states.put(item.key(), newState);
             if (item.key().startsWith(RouterEntry.PREFIX)) {
-                list.changed(item);
-            } else if (item.key().startsWith(WEIGHTS)) {
-                listener.named(MODEL, Long.parseLong(item.value()), item.revision());
-                revisions.add(item.revision());
+                list.update(item);
+            } else if (item.key().startsWith(WEIGHTS_PREFIX)) {
+                listener.versionPublished(MODEL, Long.parseLong(item.value()), item.revision());
+                publishedRevisions.add(item.revision());
             }
-            if (!item.key().startsWith(REPLICA) || !content.equals(before)) {
-                view.changed(item);
+            if (!item.key().startsWith(REPLICA_PREFIX) || !newState.equals(previousState)) {
+                view.recordChange(item);
             }
         }
 
-        private Promise<MirrorAnswer> ask(String peer, long after, Duration wait) {
+        private Promise<MirrorAnswer> query(String peer, long after, Duration wait) {
             SettablePromise<MirrorAnswer> answer = new SettablePromise<>();
             Member other = member(peer.substring(0, peer.indexOf(':')));
             schedule(wait.toMillis() + 300, () -> answer.trySetException(new StoreUnavailableException("silent")));
             timers.schedule(HOP_MILLIS, () -> {
-                if (!linked.test(this, other)) {
+                if (!connected.test(this, other)) {
                     return;
                 }
                 if (!other.alive) {
                     schedule(0, () -> answer.trySetException(new StoreUnavailableException("refused")));
                     return;
                 }
-                other.run(other.life, () -> other.view
-                        .ask(after, wait.toMillis())
-                        .whenResult(told -> schedule(HOP_MILLIS, () -> {
-                            if (linked.test(this, other)) {
-                                answer.trySet(told);
+                other.run(other.generation, () -> other.view
+                        .query(after, wait.toMillis())
+                        .whenResult(result -> schedule(HOP_MILLIS, () -> {
+                            if (connected.test(this, other)) {
+                                answer.trySet(result);
                             }
                         })));
             });
--- a/gateway/src/test/java/org/hornbeamhead/gateway/state/WeightsListenerTest.java
+++ b/gateway/src/test/java/org/hornbeamhead/gateway/state/WeightsListenerTest.java
@@ -22,26 +22,26 @@
     private WeightsView weights;
 
     @BeforeMethod
-    public void listen() {
+    public void setUp() {
         clock = new ManualClock(1_000_000);
         mirror = new StoreMirror();
         state = new RoutingState();
         weights = new WeightsView(BOUND);
         WeightsListener listener = new WeightsListener(clock, mirror, state, weights);
-        mirror.listen(i -> listener.named("m", Long.parseLong(i.value()), i.revision()));
+        mirror.addListener(i -> listener.versionPublished("m", Long.parseLong(i.value()), i.revision()));
     }
 
-    /** One answered read of the store, as the follower takes it in. */
-    private void read(StoreChanges changes) {
+    /** Applies one answered read of the store, as the follower does. */
+    private void applyRead(StoreChanges changes) {
         mirror.apply(changes);
-        state.proven(clock.monotonicMillis());
+        state.markCompleteUpTo(clock.monotonicMillis());
     }
 
-    private static StoreChanges names(long version, long revision) {
+    private static StoreChanges publication(long version, long revision) {
         return new StoreChanges(List.of(new StoreItem(KEY, revision, Long.toString(version), false)), revision, false);
     }
 
-    private static StoreChanges nothing(long revision) {
+    private static StoreChanges noChanges(long revision) {
         return new StoreChanges(List.of(), revision, false);
     }
 
@@ -51,19 +51,19 @@
     }
 
     /**
-     * Callers get answers on weights that should be out of use: a request began 8,001 ms after newer ones were
-     * acknowledged, where 8,000 ms are allowed. The routers of a large fleet read the store once a second, and heard of
-     * the name 828 ms late; they counted from there. The name may be as old as the reading before it, in which it was
-     * missing, so nothing may begin later than the bound after that one.
+     * The routers of a large fleet read the store once a second. If they counted the bound from the read that returned
+     * a new version, here 828 ms after its publication, a request could begin 8,001 ms after the newer weights were
+     * acknowledged, where 8,000 ms are allowed. The version may be as old as the previous read, which lacked it, so no
+     * request may begin later than the bound after that read.
      */
     @Test(dataProvider = "pauses")
-    public void theBoundRunsFromTheLastReadingWithoutTheName(long pauseMillis) {
-        read(names(2, 10));
+    public void boundStartsAtLastReadWithoutTheVersion(long pauseMillis) {
+        applyRead(publication(2, 10));
         clock.advance(30_000);
-        read(nothing(20));
+        applyRead(noChanges(20));
         long acknowledged = clock.monotonicMillis() + 1;
         clock.advance(pauseMillis);
-        read(names(3, 21));
+        applyRead(publication(3, 21));
         clock.advance(acknowledged + BOUND - clock.monotonicMillis());
         assertTrue(
                 weights.usableMillis("m", 2, clock.monotonicMillis()) <= 0,
@@ -72,35 +72,36 @@
     }
 
     /**
-     * The store's history is lost between two readings, and the second one finds version 4 where version 2 was. When
-     * version 3 was named nobody can tell any more: it may have been just after the first reading.
+     * The store loses its history between two reads, and the second read returns version 4 where version 2 was. The
+     * publication time of version 3 is unknown; it may be directly after the first read, so the bound must start there.
      */
     @Test
-    public void aNameThatWasNeverSeenProlongsNothing() {
-        read(names(2, 10));
+    public void skippedVersionDoesNotExtendTheBound() {
+        applyRead(publication(2, 10));
         clock.advance(30_000);
-        read(nothing(20));
-        long seen = clock.monotonicMillis();
+        applyRead(noChanges(20));
+        long lastRead = clock.monotonicMillis();
         clock.advance(2_500);
-        read(new StoreChanges(List.of(new StoreItem(KEY, 25, "4", false)), 30, true));
-        assertTrue(weights.usableMillis("m", 2, seen + BOUND) <= 0);
-        assertTrue(weights.usableMillis("m", 3, seen + BOUND) <= 0);
+        applyRead(new StoreChanges(List.of(new StoreItem(KEY, 25, "4", false)), 30, true));
+        assertTrue(weights.usableMillis("m", 2, lastRead + BOUND) <= 0);
+        assertTrue(weights.usableMillis("m", 3, lastRead + BOUND) <= 0);
     }
 
     /**
-     * A router that starts late, or is cut from the store at its start, reads a name for the first time. It did not see
-     * when that was named: only a moment is left of older weights, and another router's word takes the place of it.
+     * A router that starts late, or is disconnected from the store at its start, reads a version for the first time. It
+     * did not observe the publication, so older weights must be usable only for a short time, until another router
+     * reports the publication time.
      */
     @Test
-    public void theFirstReadingIsNoSightOfTheNaming() {
+    public void firstReadOnlyEstimatesPublicationTime() {
         clock.advance(7_000);
-        read(names(2, 10));
+        applyRead(publication(2, 10));
         long now = clock.monotonicMillis();
         assertTrue(weights.usableMillis("m", 1, now) <= 1_500);
-        assertTrue(weights.isUncertain());
-        weights.told(new NamedAge("m", 2, 5_000, false), now);
-        WeightsView saw = new WeightsView(BOUND);
-        saw.name("m", 2, now - 5_000);
-        assertEquals(weights.usableMillis("m", 1, now), saw.usableMillis("m", 1, now));
+        assertTrue(weights.hasEstimates());
+        weights.recordFromPeer(new NamedAge("m", 2, 5_000, false), now);
+        WeightsView observer = new WeightsView(BOUND);
+        observer.recordPublished("m", 2, now - 5_000);
+        assertEquals(weights.usableMillis("m", 1, now), observer.usableMillis("m", 1, now));
     }
 }
--- a/router/src/main/java/org/hornbeamhead/router/EngineExchange.java
+++ b/router/src/main/java/org/hornbeamhead/router/EngineExchange.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.UUID;
 import java.util.stream.Collectors;
-import org.hornbeamhead.core.crash.LostRun;
+import org.hornbeamhead.core.crash.LostAttempt;
 import org.hornbeamhead.core.outcome.Reason;
 import org.hornbeamhead.core.placement.PlacementChoice;
 import org.hornbeamhead.core.placement.PlacementTarget;
@@ -77,7 +77,7 @@
         attemptTokens = 0;
         choice = chosen;
         dispatchedMillis = context.clock().monotonicMillis();
-        pool.table().dispatched(request.chain(), chosen);
+        pool.table().recordDispatch(request.chain(), chosen);
         String address = chosen.replica().address();
         log("dispatched", chosen.reason().name());
         attempt = new EngineAttempt(context.connections(), address, internalId + "." + attempts);
@@ -102,7 +102,7 @@
             ended = true;
             context.quarantine().completed(request::fingerprint);
             if (!accounted) {
-                pool.table().ended(choice, NO_COUNT);
+                pool.table().recordCompletion(choice, NO_COUNT);
             }
             return Promise.of(null);
         }
@@ -119,7 +119,7 @@
     private void countToken(EngineEvent event) {
         if (attemptTokens == 0) {
             double elapsed = context.clock().monotonicMillis() - dispatchedMillis;
-            pool.table().firstToken(choice, elapsed);
+            pool.table().recordFirstToken(choice, elapsed);
         }
         if (givenTokens == 0) {
             firstTokenMetrics();
@@ -152,9 +152,9 @@
         ObjectNode usage = (ObjectNode) json.get("usage");
         int prompt = usage.path("prompt_tokens").asInt();
         int cached = usage.path("prompt_tokens_details").path("cached_tokens").asInt();
-        pool.table().ended(choice, cached);
+        pool.table().recordCompletion(choice, cached);
         accounted = true;
-        pool.retries().succeeded();
+        pool.retries().recordSuccess();
         String customer = request.customer().name();
         String name = request.requestClass().name();
         context.metrics().count("hornbeam_prompt_tokens", prompt, "class", name, "customer", customer);
@@ -180,7 +180,7 @@
         }
         if (resumes > 0 && failed.failure() == AttemptFailure.NOT_SENT) {
             // The engine had the request, and now refuses connections: its process has ended.
-            LostRun run = new LostRun(request.fingerprint(), dispatchedMillis, lostMillis);
+            LostAttempt run = new LostAttempt(request.fingerprint(), dispatchedMillis, lostMillis);
             context.quarantine().crashed(run, choice.replica().address());
         }
         return elsewhere(failed);
@@ -188,7 +188,7 @@
 
     private Promise<Void> elsewhere(AttemptException failed) {
         blame(failed.failure());
-        pool.table().abandoned(choice, attemptTokens > 0);
+        pool.table().recordAbandoned(choice, attemptTokens > 0);
         if (failed.failure() == AttemptFailure.REJECTED) {
             context.quarantine().completed(request::fingerprint);
             return Promise.ofException(failed);
@@ -198,7 +198,7 @@
         excluded.add(choice.replica().address());
         boolean held = context.quarantine().heldMillis(request::fingerprint).isPresent();
         boolean allowed =
-                !held && attempts < MAX_ATTEMPTS && (!worked || pool.retries().tryTake());
+                !held && attempts < MAX_ATTEMPTS && (!worked || pool.retries().tryAcquire());
         Optional<PlacementChoice> other =
                 allowed ? pool.placement().choose(pool.table(), request.chain(), target, excluded) : Optional.empty();
         if (other.isEmpty()) {
@@ -215,8 +215,8 @@
     private void blame(AttemptFailure failure) {
         long now = context.clock().monotonicMillis();
         switch (failure) {
-            case NOT_SENT -> choice.replica().outlier().unreachable(now);
-            case LOST, CORRUPT -> choice.replica().outlier().failed(now);
+            case NOT_SENT -> choice.replica().outlier().recordConnectFailure(now);
+            case LOST, CORRUPT -> choice.replica().outlier().recordFailure(now);
             case REFUSED, REJECTED -> {
                 // The engine answered, which is no fault.
             }
@@ -229,7 +229,7 @@
             ended = true;
             attempt.cancel();
             if (!accounted) {
-                pool.table().abandoned(choice, attemptTokens > 0);
+                pool.table().recordAbandoned(choice, attemptTokens > 0);
             }
         }
     }
--- a/router/src/main/java/org/hornbeamhead/router/Router.java
+++ b/router/src/main/java/org/hornbeamhead/router/Router.java
@@ -22,8 +22,8 @@
 import org.hornbeamhead.clients.HttpKeyValueStore;
 import org.hornbeamhead.core.claim.Claim;
 import org.hornbeamhead.core.claim.ClaimBatcher;
-import org.hornbeamhead.core.claim.ClaimLimits;
 import org.hornbeamhead.core.claim.ClaimResult;
+import org.hornbeamhead.core.claim.ClaimStoreConfig;
 import org.hornbeamhead.core.config.ConfigHolder;
 import org.hornbeamhead.core.config.ConfigRecord;
 import org.hornbeamhead.core.drain.DrainSequence;
@@ -37,7 +37,7 @@
 import org.hornbeamhead.core.membership.Member;
 import org.hornbeamhead.core.membership.MemberStatus;
 import org.hornbeamhead.core.settings.Addresses;
-import org.hornbeamhead.core.ticket.TicketOffice;
+import org.hornbeamhead.core.ticket.TicketRegistry;
 import org.hornbeamhead.daemon.Daemon;
 import org.hornbeamhead.daemon.HttpAnswers;
 import org.hornbeamhead.daemon.HttpCaller;
@@ -69,7 +69,7 @@
     private final HostListClient hostList;
     private final HttpServer server;
     private final GossipNode gossip;
-    private final TicketOffice tickets;
+    private final TicketRegistry tickets;
     private final ClaimAgent claims;
     private final ConfigAgent configAgent;
     private final Quarantine quarantine;
@@ -120,8 +120,8 @@
                 GossipLimits.STANDARD,
                 peerNode::send,
                 new Listener());
-        this.tickets = new TicketOffice(address, daemon.clock(), new SecureRandom(), TICKET_TTL_MILLIS);
-        ClaimBatcher batcher = new ClaimBatcher(store, daemon.clock(), daemon.timers(), ClaimLimits.STANDARD);
+        this.tickets = new TicketRegistry(address, daemon.clock(), new SecureRandom(), TICKET_TTL_MILLIS);
+        ClaimBatcher batcher = new ClaimBatcher(store, daemon.clock(), daemon.timers(), ClaimStoreConfig.STANDARD);
         this.claims = new ClaimAgent(batcher, peers, self.peerAddress());
         this.configAgent = new ConfigAgent(config, store, peers, daemon.timers(), self.peerAddress(), gossip::members);
         this.routes =
@@ -170,7 +170,7 @@
     private Promise<HttpResponse> entry(HttpRequest request) {
         String customer = request.getQueryParameter("customer");
         String hint = request.getQueryParameter("hint");
-        EntryAnswer answer = entries.answer(customer == null ? "" : customer, hint == null ? "" : hint);
+        EntryAnswer answer = entries.resolve(customer == null ? "" : customer, hint == null ? "" : hint);
         ObjectNode json = Json.object();
         answer.addresses().forEach(json.withArray("addresses")::add);
         json.put("ttl_ms", answer.ttl().toMillis());
@@ -182,7 +182,7 @@
 
     /** Runs until the end of the process. */
     void run() {
-        config.onChange(c -> gossip.config(config.state().version()));
+        config.onChange(c -> gossip.updateConfigVersion(config.state().version()));
         config.onChange(c -> serveWhenReady());
         peerNode.receive(gossip::receive);
         peerNode.receiveCrashes(quarantine::receive);
@@ -204,7 +204,7 @@
     private void fetchHosts() {
         hostList.fetch().whenResult(hosts -> {
             pools.listed(hosts);
-            gossip.listed(pools.entries().stream().map(Router::member).toList());
+            gossip.updateHostList(pools.entries().stream().map(Router::member).toList());
             hostsKnown = true;
             serveWhenReady();
         });
@@ -212,7 +212,7 @@
 
     private void serveWhenReady() {
         if (hostsKnown && config.state().version() > 0) {
-            gossip.serve();
+            gossip.startServing();
         }
     }
 
@@ -223,7 +223,7 @@
 
     private void membersChanged() {
         List<Member> serving = gossip.serving();
-        entries.serving(serving.stream().map(Member::address).toList());
+        entries.updateRouters(serving.stream().map(Member::address).toList());
         claims.serving(serving.stream().map(Member::peerAddress).toList());
         pools.routers(serving.size());
     }
